--- a/src/main/java/onyxpaddle/Balancing.java
+++ b/src/main/java/onyxpaddle/BalancerApi.java
@@ -9,9 +9,9 @@
  * and the actions it returns. Times are nanoseconds of the caller's own monotonic clock; spans are
  * nanoseconds; a time or span of 0 means "none" where the field says so.
  */
-public final class Balancing {
+public final class BalancerApi {
 
-    private Balancing() {
+    private BalancerApi() {
     }
 
     /** What repeating a request may do. */
@@ -34,7 +34,7 @@
         /** The server finds the request itself at fault, which says nothing of the server. */
         REJECTED(false),
         /** It never ran, and can't be sent again: a part of its body was passed on and is held no more. */
-        SPENT(true);
+        NOT_REPLAYABLE(true);
 
         /** Whether this outcome proves that the request never ran at the server. */
         public final boolean neverRan;
@@ -48,7 +48,7 @@
     public enum ServerState { READY, DRAINING, GONE }
 
     /** What a membership event carries: changed entries, a whole list, the last list held, or nothing. */
-    public enum ListKind { CHANGES, ALL, REMEMBERED, REFUSED }
+    public enum ListKind { CHANGES, ALL, CACHED, REFUSED }
 
     /** What a server's weight in the membership list means. */
     public enum Weights { NONE, NOMINAL, ROUGH, LIVE }
@@ -57,13 +57,13 @@
     public enum LoadField { IN_FLIGHT, QUEUE, UTILIZATION, LATENCY_MS, PER_SECOND, ERRORS_PER_SECOND, OTHER }
 
     /** A class of requests. */
-    public record RequestClass(String name, Effect effect, KeyGroup group, long memory, long aim,
+    public record RequestClass(String name, Effect effect, KeyGroup group, long keyRetention, long aim,
             double aimStretch, long deadline, double worth, double lateWorth, boolean streamed) {
         public RequestClass {
             Objects.requireNonNull(name, "classes.name");
             Objects.requireNonNull(effect, "classes.effect");
             Objects.requireNonNull(group, "classes.group");
-            require(memory >= 0, "classes.memory");
+            require(keyRetention >= 0, "classes.memory");
             require(aim >= 0, "classes.aim");
             require(deadline >= 0, "classes.deadline");
             require(worth >= 0, "classes.worth");
@@ -211,7 +211,7 @@
     }
 
     /** How many servers are listed, and how many of those are avoided now: draining, or trusted with few calls. */
-    public record Fleet(int listed, int avoided) {
+    public record FleetSummary(int listed, int avoided) {
     }
 
     /**
@@ -222,7 +222,7 @@
      * @param mean its round trips against what is usual for their class; 0 before the first
      * @param out attempts that are with it now
      */
-    public record Standing(String server, String zone, ServerState state, boolean takenOut, boolean doubted, boolean cold,
+    public record ServerStatus(String server, String zone, ServerState state, boolean takenOut, boolean doubted, boolean cold,
             double chance, double mean, int out) {
     }
 
@@ -231,9 +231,9 @@
      * their class (20 at most, oldest first), failures that fade, and what a cold one may still be sent. {@code leaving}: it
      * was told to drain.
      */
-    public record ServerMemory(String server, long startedAt, boolean leaving, List<Double> trips, long sampledAt, double errorShare,
+    public record ServerSnapshot(String server, long startedAt, boolean leaving, List<Double> trips, long sampledAt, double errorShare,
             double failures, long failedAt, double full, long fullAt, double credit) {
-        public ServerMemory {
+        public ServerSnapshot {
             trips = List.copyOf(trips);
             require(trips.size() <= 20 && trips.stream().allMatch(t -> t >= 0 && t < 1e12), "trips");
             require(errorShare >= 0 && errorShare <= 1, "errorShare");
@@ -243,9 +243,9 @@
     }
 
     /** What a node has learnt of a class: its usual round trip, in nanoseconds, and how that goes with the cost hint. */
-    public record ClassMemory(String name, double trip, double deviation, double cost, double costVariance,
+    public record ClassSnapshot(String name, double trip, double deviation, double cost, double costVariance,
             double covariance, int seen) {
-        public ClassMemory {
+        public ClassSnapshot {
             require(trip >= 0 && trip < 1e15 && deviation >= 0 && deviation < 1e15, "trip");
             require(Double.isFinite(cost) && Double.isFinite(costVariance) && Double.isFinite(covariance), "cost");
             require(seen >= 0, "seen");
@@ -256,9 +256,9 @@
      * All that a node hands to the process that takes its place, but for requests; {@code whole}: every server that it
      * has on its list is here, so that one that isn't was gone.
      */
-    public record Memory(List<ServerMemory> servers, boolean whole, List<ClassMemory> classes, List<String> takenOut,
+    public record BalancerSnapshot(List<ServerSnapshot> servers, boolean whole, List<ClassSnapshot> classes, List<String> takenOut,
             double admitLimit, boolean metLate, double retriesSaved, double usualRank, double usualWorth) {
-        public Memory {
+        public BalancerSnapshot {
             takenOut = List.copyOf(takenOut);
             servers = List.copyOf(servers);
             classes = List.copyOf(classes);
--- a/src/main/java/onyxpaddle/CarriedRate.java
+++ b/src/main/java/onyxpaddle/CallRate.java
@@ -8,7 +8,7 @@
  * <p>Guards against a fleet in which nobody is warm any more: what was carried before still tells what the
  * servers are for, where a count of today's calls sinks with each call that finds no server, until none come.
  */
-final class CarriedRate {
+final class CallRate {
     /** Time over which the mean is taken, in seconds; shorter at the start. */
     private static final double SPAN = 10;
     private static final double FIRST_SPAN = 0.5;
--- a/src/main/java/onyxpaddle/Failures.java
+++ b/src/main/java/onyxpaddle/FailureCounter.java
@@ -1,7 +1,7 @@
 package onyxpaddle;
 
 /** Failures since the last served call, fading with time. */
-final class Failures {
+final class FailureCounter {
     /** Time in which a count loses most of its height, in nanoseconds. */
     private static final double USUAL_FADE = 5e9;
     /** Share of the draws that is left to a server however often it failed. */
@@ -12,11 +12,11 @@
     private double count;
     long at;
 
-    Failures() {
+    FailureCounter() {
         this(USUAL_FADE, Double.MAX_VALUE);
     }
 
-    Failures(double fade, double most) {
+    FailureCounter(double fade, double most) {
         this.fade = fade;
         this.most = most;
     }
--- a/src/main/java/onyxpaddle/FlatSettings.java
+++ b/src/main/java/onyxpaddle/FlatSettings.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import onyxpaddle.Balancing.*;
+import onyxpaddle.BalancerApi.*;
 
 /**
  * Reads the settings of an instance from flat paths, such as {@code limits.maxAttempts}: the form in which the
--- a/src/main/java/onyxpaddle/ClassUse.java
+++ b/src/main/java/onyxpaddle/LatencyModel.java
@@ -1,13 +1,13 @@
 package onyxpaddle;
 
-import onyxpaddle.Balancing.ClassMemory;
-import onyxpaddle.Balancing.RequestClass;
+import onyxpaddle.BalancerApi.ClassSnapshot;
+import onyxpaddle.BalancerApi.RequestClass;
 
 /**
  * A class's usual round trip, by the cost hint where there is one. Round trips are divided by it, so that
  * a server is not judged by what it happened to get (the paper's remedy for mixed requests, section 6).
  */
-final class ClassUse {
+final class LatencyModel {
     /** Weight of one more round trip in the usual one. */
     static final double STEP = 0.02;
     /**
@@ -25,7 +25,7 @@
     private double covariance;
     private int seen;
 
-    ClassUse(RequestClass about) {
+    LatencyModel(RequestClass about) {
         this.about = about;
     }
 
@@ -40,11 +40,11 @@
         covariance += step * (offCost * offTrip - covariance);
     }
 
-    ClassMemory memory() {
-        return new ClassMemory(about.name(), trip, deviation, cost, costVariance, covariance, seen);
+    ClassSnapshot snapshot() {
+        return new ClassSnapshot(about.name(), trip, deviation, cost, costVariance, covariance, seen);
     }
 
-    void recall(ClassMemory known) {
+    void recall(ClassSnapshot known) {
         trip = known.trip();
         deviation = known.deviation();
         cost = known.cost();
--- a/src/main/java/onyxpaddle/Main.java
+++ b/src/main/java/onyxpaddle/Main.java
@@ -11,7 +11,7 @@
         switch (args.length == 1 ? args[0] : "") {
             // These load nothing that they don't run: their start counts.
             case "serve" -> onyxpaddle.serve.Node.main();
-            case "rehearse" -> onyxpaddle.serve.Rehearsal.main();
+            case "rehearse" -> onyxpaddle.serve.TrainingRun.main();
             case "adapter" -> onyxpaddle.wire.Main.main(args);
             default -> {
                 int code = onyxpaddle.command.Lupinmount.run(args, new PrintWriter(System.out, true), new PrintWriter(System.err, true));
--- a/src/main/java/onyxpaddle/RatioBalancer.java
+++ b/src/main/java/onyxpaddle/RatioBalancer.java
@@ -14,10 +14,10 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.TreeSet;
-import onyxpaddle.Balancing.*;
+import onyxpaddle.BalancerApi.*;
 
 /**
- * All decisions of a balancer node. Its settings, events and actions are in Balancing.java.
+ * All decisions of a balancer node. Its settings, events and actions are in BalancerApi.java.
  *
  * <p>Mechanism: the averaged Ratio approach (Kueting et al., section 3.2). A server's mean t is that of this
  * node's own last completed round trips; with t_b the lowest, f = t_b / t and p = f / sum(f); two servers are
@@ -97,7 +97,7 @@
     private final Set<String> takenOut = new LinkedHashSet<>();
     private final Map<String, Zone> zones = new HashMap<>();
     /** What another process knew of servers that are not listed yet; empty from the first whole list on. */
-    private final Map<String, ServerMemory> remembered = new HashMap<>();
+    private final Map<String, ServerSnapshot> remembered = new HashMap<>();
     /** The process before this one is known to have had no other servers than those remembered. */
     private boolean rememberedAll;
     /** Discovery has told a list, or what has changed since the one that the process was started with. */
@@ -108,15 +108,15 @@
     /** Those of them that are cold, the one that will be warm first in front. */
     private final TreeSet<Server> cold = new TreeSet<>(
         Comparator.<Server>comparingLong(s -> s.startedAt).thenComparing(s -> s.id));
-    private final CarriedRate carried = new CarriedRate();
-    private final CarriedRate arrived = new CarriedRate();
+    private final CallRate carried = new CallRate();
+    private final CallRate arrived = new CallRate();
     private double sizes;
     /** For how many nodes each one of this zone stands with the servers of the zone: see {@link #alone}. */
     private double aloneFactor = 1;
     /** How many servers the last draw was from, also where it took a sample of them. */
     private int lastSpan = 1;
-    private final Map<String, ClassUse> classes = new HashMap<>();
-    private final ClassUse unknownClass;
+    private final Map<String, LatencyModel> classes = new HashMap<>();
+    private final LatencyModel unknownClass;
     private final Map<String, Request> requests = new HashMap<>();
     private final PriorityQueue<Due> due = new PriorityQueue<>();
     private final PriorityQueue<Request> waiting = new PriorityQueue<>();
@@ -144,7 +144,7 @@
         this.settings = java.util.Objects.requireNonNull(settings, "settings");
         this.random = new SplittableRandom(seed);
         for (RequestClass c : settings.classes()) {
-            classes.put(c.name(), new ClassUse(c));
+            classes.put(c.name(), new LatencyModel(c));
         }
         for (Tenant tenant : settings.tenants()) {
             if (tenant.quotaPerSecond() > 0) {
@@ -152,7 +152,7 @@
             }
         }
         // A class the settings do not name is treated as the most careful kind.
-        unknownClass = new ClassUse(
+        unknownClass = new LatencyModel(
             new RequestClass("", Effect.UNSAFE, KeyGroup.ALL, 0, 0, 0, 0, 1, 0, false));
     }
 
@@ -204,7 +204,7 @@
             plan(now + (long) (wait * (0.5 + random.nextDouble() / 2)), null);
             return;
         }
-        if (news.kind() != ListKind.REMEMBERED && asked) {
+        if (news.kind() != ListKind.CACHED && asked) {
             subscribed = true;
             refusedAsks = 0;
         }
@@ -214,7 +214,7 @@
             left.forEach(id -> place(servers.remove(id)));
         }
         news.entries().forEach(this::applyEntry);
-        if (news.kind() != ListKind.REMEMBERED && !heard) {
+        if (news.kind() != ListKind.CACHED && !heard) {
             heard = true;
             for (Server server : servers.values()) {
                 server.doubted = false;
@@ -322,21 +322,21 @@
     // ---- replacement ----
 
     /** What the process that takes this one's place need not learn anew. */
-    public Memory memory(long nowNanos) {
-        List<ServerMemory> ofServers = new ArrayList<>();
+    public BalancerSnapshot snapshot(long nowNanos) {
+        List<ServerSnapshot> ofServers = new ArrayList<>();
         for (Server s : servers.values()) {
             List<Double> trips = new ArrayList<>();
             for (int i = 0; i < s.count; i++) {
                 trips.add(s.window[(s.next - s.count + i + WINDOW) % WINDOW]);
             }
             boolean leaving = s.state == ServerState.DRAINING || s.doubted;
-            ofServers.add(new ServerMemory(s.id, s.startedAt, leaving, trips, s.sampledAt, s.errorShare,
+            ofServers.add(new ServerSnapshot(s.id, s.startedAt, leaving, trips, s.sampledAt, s.errorShare,
                 s.failures.countNow(nowNanos), nowNanos, s.full.countNow(nowNanos), nowNanos,
                 Math.max(0, s.credit)));
         }
-        List<ClassMemory> ofClasses = new ArrayList<>();
-        classes.values().forEach(use -> ofClasses.add(use.memory()));
-        return new Memory(ofServers, true, ofClasses, List.copyOf(takenOut), admitLimit, metLate,
+        List<ClassSnapshot> ofClasses = new ArrayList<>();
+        classes.values().forEach(use -> ofClasses.add(use.snapshot()));
+        return new BalancerSnapshot(ofServers, true, ofClasses, List.copyOf(takenOut), admitLimit, metLate,
             retriesSaved, usualRank, usualWorth);
     }
 
@@ -344,22 +344,22 @@
      * Goes on from what another process of this node has learnt, before the first request. A server counts as
      * the same if its id and start are; one that is not listed yet is remembered until the next whole list.
      */
-    public void remember(Memory memory) {
-        memory.servers().forEach(s -> remembered.put(s.server(), s));
-        rememberedAll = memory.whole() && !memory.servers().isEmpty();
+    public void restore(BalancerSnapshot snapshot) {
+        snapshot.servers().forEach(s -> remembered.put(s.server(), s));
+        rememberedAll = snapshot.whole() && !snapshot.servers().isEmpty();
         servers.values().forEach(this::remind);
-        memory.takenOut().forEach(server -> takeOut(server, true));
-        for (ClassMemory c : memory.classes()) {
-            ClassUse use = classes.get(c.name());
+        snapshot.takenOut().forEach(server -> takeOut(server, true));
+        for (ClassSnapshot c : snapshot.classes()) {
+            LatencyModel use = classes.get(c.name());
             if (use != null) {
                 use.recall(c);
             }
         }
-        admitLimit = memory.admitLimit();
-        metLate = memory.metLate();
-        retriesSaved = Math.min(MOST_RETRIES_SAVED, memory.retriesSaved());
-        usualRank = memory.usualRank();
-        usualWorth = memory.usualWorth();
+        admitLimit = snapshot.admitLimit();
+        metLate = snapshot.metLate();
+        retriesSaved = Math.min(MOST_RETRIES_SAVED, snapshot.retriesSaved());
+        usualRank = snapshot.usualRank();
+        usualWorth = snapshot.usualWorth();
         servers.values().forEach(this::place);
         guessLimit();
     }
@@ -369,39 +369,39 @@
      * left that one's list, drains, or has started again since, gets nothing before discovery has spoken.
      */
     private void remind(Server server) {
-        ServerMemory memory = remembered.remove(server.id);
+        ServerSnapshot snapshot = remembered.remove(server.id);
         if (!heard) {
-            server.doubted = memory == null ? rememberedAll
-                : memory.leaving() && memory.startedAt() >= server.startedAt
-                    || memory.startedAt() > server.startedAt;
+            server.doubted = snapshot == null ? rememberedAll
+                : snapshot.leaving() && snapshot.startedAt() >= server.startedAt
+                    || snapshot.startedAt() > server.startedAt;
         }
-        if (memory != null && memory.startedAt() == server.startedAt) {
-            memory.trips().forEach(trip -> server.add(trip, memory.sampledAt()));
-            server.errorShare = memory.errorShare();
-            server.failures.recall(memory.failures(), memory.failedAt());
-            server.full.recall(memory.full(), memory.fullAt());
-            server.credit = memory.credit();
+        if (snapshot != null && snapshot.startedAt() == server.startedAt) {
+            snapshot.trips().forEach(trip -> server.add(trip, snapshot.sampledAt()));
+            server.errorShare = snapshot.errorShare();
+            server.failures.recall(snapshot.failures(), snapshot.failedAt());
+            server.full.recall(snapshot.full(), snapshot.fullAt());
+            server.credit = snapshot.credit();
         }
     }
 
     // ---- the fleet ----
 
     /** The servers listed, and those that get a quarter of their share at most, for on-call staff. */
-    public Fleet fleet(long nowNanos) {
+    public FleetSummary fleet(long nowNanos) {
         int avoided = 0;
         for (Server server : servers.values()) {
             boolean out = server.state != ServerState.READY || server.doubted || takenOut.contains(server.id);
             avoided += out || server.distrusted(nowNanos) ? 1 : 0;
         }
-        return new Fleet(servers.size(), avoided);
+        return new FleetSummary(servers.size(), avoided);
     }
 
     /** How each listed server stands, for on-call staff. */
-    public List<Standing> standings(long nowNanos) {
-        List<Standing> all = new ArrayList<>(servers.size());
+    public List<ServerStatus> serverStatuses(long nowNanos) {
+        List<ServerStatus> all = new ArrayList<>(servers.size());
         for (Server s : servers.values()) {
             boolean coldNow = s.startedAt > 0 && nowNanos - s.startedAt < settings.rules().coldSpan();
-            all.add(new Standing(s.id, s.zone, s.state, takenOut.contains(s.id), s.doubted, coldNow,
+            all.add(new ServerStatus(s.id, s.zone, s.state, takenOut.contains(s.id), s.doubted, coldNow,
                 s.chanceLeft(nowNanos), s.count == 0 ? 0 : s.mean(), s.out.size()));
         }
         return all;
@@ -427,7 +427,7 @@
     }
 
     private void failed(Server server, Outcome outcome) {
-        if (outcome == Outcome.FULL || outcome == Outcome.SPENT) {
+        if (outcome == Outcome.FULL || outcome == Outcome.NOT_REPLAYABLE) {
             server.full.add(now);
             return;
         }
@@ -658,10 +658,10 @@
         if (requests.containsKey(arrival.request())) {
             return;
         }
-        ClassUse use = classes.getOrDefault(arrival.requestClass(), unknownClass);
+        LatencyModel use = classes.getOrDefault(arrival.requestClass(), unknownClass);
         Request r = new Request(arrival, use, worth(arrival, use), dueCount++);
         requests.put(r.id, r);
-        usualRank = usualRank == 0 ? r.rank : usualRank + ClassUse.STEP * (r.rank - usualRank);
+        usualRank = usualRank == 0 ? r.rank : usualRank + LatencyModel.STEP * (r.rank - usualRank);
         retriesSaved = Math.min(MOST_RETRIES_SAVED, retriesSaved + RETRY_SHARE);
         if (carried.perSecond() == 0) {
             arrived.add(now, 1.0 / Math.max(1, ready.size()));
@@ -738,7 +738,7 @@
                     served(r, attempt, ended.latency());
                 }
             }
-            case ERROR, FULL, SPENT -> {
+            case ERROR, FULL, NOT_REPLAYABLE -> {
                 attempt.server.heardAt = now;
                 failed(attempt.server, ended.outcome());
             }
@@ -755,7 +755,7 @@
     }
 
     private void again(Request r, Outcome outcome) {
-        boolean worthIt = outcome != Outcome.REJECTED && outcome != Outcome.SPENT && r.out == 0
+        boolean worthIt = outcome != Outcome.REJECTED && outcome != Outcome.NOT_REPLAYABLE && r.out == 0
             && mayAttempt(r);
         if (worthIt && (outcome.neverRan || spendRetry())) {
             if (r.attempts.size() < 2) {
@@ -781,7 +781,7 @@
             case SAFE -> true;
             case UNSAFE -> r.anchor == null;
             case KEYED -> r.anchor == null
-                || now + settings.tick() < r.anchor.sentAt + r.use.about.memory();
+                || now + settings.tick() < r.anchor.sentAt + r.use.about.keyRetention();
         };
     }
 
@@ -874,14 +874,14 @@
     }
 
     /** What a request is worth; less beyond this node's part of its tenant's quota. */
-    private double worth(Arrival arrival, ClassUse use) {
+    private double worth(Arrival arrival, LatencyModel use) {
         double work = settings.worthByWork() && arrival.cost() > 0 ? arrival.cost() : 1;
         double worth = use.about.worth() * work;
         Quota quota = quotas.get(String.valueOf(arrival.tenant()));
         if (quota != null && !quota.take(now)) {
             worth *= settings.overShareWorth();
         }
-        usualWorth = usualWorth == 0 ? worth : usualWorth + ClassUse.STEP * (worth - usualWorth);
+        usualWorth = usualWorth == 0 ? worth : usualWorth + LatencyModel.STEP * (worth - usualWorth);
         return worth;
     }
 
@@ -973,7 +973,7 @@
 
     /** What the servers of a zone have in common. */
     private static final class Zone {
-        final Failures failures = new Failures();
+        final FailureCounter failures = new FailureCounter();
         /** See {@link ZoneShares}. */
         double share = 1;
         int ready;
@@ -994,8 +994,8 @@
         /** Calls that it may be sent while it is cold, and when that was last reckoned. */
         double credit;
         long creditAt;
-        final Failures failures = new Failures();
-        final Failures full = new Failures(FULL_FADE, MOST_FULL);
+        final FailureCounter failures = new FailureCounter();
+        final FailureCounter full = new FailureCounter(FULL_FADE, MOST_FULL);
         final Zone inZone;
         /** Share of late calls answered with an error: one that errs half the time soon clears its count. */
         double errorShare;
@@ -1039,7 +1039,7 @@
         double chanceLeft(long now) {
             double served = errorShare == 0 ? 1 : Math.pow(1 - errorsNow(now), 3);
             return inZone.share * failures.factor(now) * full.factor(now) * inZone.failures.factor(now)
-                * Math.max(Failures.LEAST_CHANCE, served);
+                * Math.max(FailureCounter.LEAST_CHANCE, served);
         }
 
         /** Avoided for its failures; one that is full for a moment is not. */
@@ -1075,7 +1075,7 @@
         final double worth;
         final double rank;
         final long number;
-        final ClassUse use;
+        final LatencyModel use;
         final long deadline;
         final double cost;
         final List<Attempt> attempts = new ArrayList<>(2);
@@ -1087,7 +1087,7 @@
         boolean admitted;
         long wakeAt;
 
-        Request(Arrival arrival, ClassUse use, double worth, long number) {
+        Request(Arrival arrival, LatencyModel use, double worth, long number) {
             this.worth = worth;
             this.rank = worth / use.usual(arrival.cost());
             this.number = number;
--- a/src/main/java/onyxpaddle/admin/AdminCalls.java
+++ b/src/main/java/onyxpaddle/admin/AdminOperations.java
@@ -1,7 +1,7 @@
 package onyxpaddle.admin;
 
 /** What the operators' door asks of the node. On the event loop, and at once. */
-public interface AdminCalls {
+public interface AdminOperations {
     /** Whether this process is ready to serve. */
     boolean ready();
 
--- a/src/main/java/onyxpaddle/admin/AdminDoor.java
+++ b/src/main/java/onyxpaddle/admin/AdminServer.java
@@ -41,7 +41,7 @@
  * and one that is slow goes for one that comes. It should cover any use of the clients' address, as that has no way here.
  * It would do harm where an operator's call takes over two seconds to come, or where more than {@value #MOST} call at once.
  */
-public final class AdminDoor {
+public final class AdminServer {
     private static final int MOST = 24;
     private static final int LONGEST_CALL_MS = 2_000;
     /** What is left unread when the answer is given is read off for so long, or the close would reset the answer away. */
@@ -54,11 +54,11 @@
 
     private final EventLoop loop;
     private final ByteBufAllocator allocator;
-    private final AdminCalls calls;
+    private final AdminOperations calls;
     private final LinkedHashSet<Channel> open = new LinkedHashSet<>();
     private Channel listener;
 
-    public AdminDoor(EventLoop loop, ByteBufAllocator allocator, AdminCalls calls) {
+    public AdminServer(EventLoop loop, ByteBufAllocator allocator, AdminOperations calls) {
         this.loop = loop;
         this.allocator = allocator;
         this.calls = calls;
@@ -133,7 +133,7 @@
         }
         return switch (path) {
             case "/ready" -> Result.of(calls.ready());
-            case "/metrics" -> new Result(HttpResponseStatus.OK, Exposition.TYPE, calls.figures());
+            case "/metrics" -> new Result(HttpResponseStatus.OK, MetricsExposition.TYPE, calls.figures());
             case "/servers" -> new Result(HttpResponseStatus.OK, "application/json", calls.servers());
             case "/bgp" -> json(calls.bgp());
             case "/sites" -> json(calls.sites());
--- a/src/main/java/onyxpaddle/admin/Exposition.java
+++ b/src/main/java/onyxpaddle/admin/MetricsExposition.java
@@ -3,17 +3,17 @@
 import java.util.Collection;
 import java.util.Locale;
 import onyxpaddle.node.Dispatcher;
-import onyxpaddle.node.Tally;
-import onyxpaddle.node.Tally.End;
+import onyxpaddle.node.RequestCounts;
+import onyxpaddle.node.RequestCounts.RequestResult;
 
 /** The figures in Prometheus' text exposition format, version 0.0.4, under the names that the operators gave. */
-public final class Exposition {
+public final class MetricsExposition {
     /** The format's media type. */
     public static final String TYPE = "text/plain; version=0.0.4; charset=utf-8";
 
     private final StringBuilder text = new StringBuilder(1024);
 
-    private Exposition() {
+    private MetricsExposition() {
     }
 
     /**
@@ -23,12 +23,12 @@
      * @param leaving pools of an earlier configuration that still have requests out
      * @param reloads how many configurations changed the node, {@code failedReloads} how many didn't
      */
-    public static String of(Tally tally, Collection<Dispatcher> pools, Collection<Dispatcher> leaving, long reloads,
+    public static String of(RequestCounts tally, Collection<Dispatcher> pools, Collection<Dispatcher> leaving, long reloads,
             long failedReloads) {
-        Exposition to = new Exposition();
+        MetricsExposition to = new MetricsExposition();
         to.type("svc_calls_total", "counter", "Requests that have their final answer, by class and by how they ended.");
         for (String name : tally.classes()) {
-            for (End end : End.values()) {
+            for (RequestResult end : RequestResult.values()) {
                 to.line("svc_calls_total{tier=\"" + escaped(name) + "\",code=\"" + end.name().toLowerCase(Locale.ROOT)
                     + "\"}", tally.count(name, end));
             }
--- a/src/main/java/onyxpaddle/admin/ServerReport.java
+++ b/src/main/java/onyxpaddle/admin/ServerReport.java
@@ -7,7 +7,7 @@
 import java.io.UncheckedIOException;
 import java.util.Locale;
 import java.util.Map;
-import onyxpaddle.Balancing.Standing;
+import onyxpaddle.BalancerApi.ServerStatus;
 import onyxpaddle.node.Dispatcher;
 
 /** How the servers of all pools stand with a node, as JSON: an array, one object for each server of each pool. */
@@ -20,7 +20,7 @@
         try (JsonGenerator g = new JsonFactory().createGenerator(text)) {
             g.writeStartArray();
             for (Map.Entry<String, Dispatcher> pool : pools.entrySet()) {
-                for (Standing s : pool.getValue().standings()) {
+                for (ServerStatus s : pool.getValue().serverStatuses()) {
                     write(g, pool.getKey(), s);
                 }
             }
@@ -32,7 +32,7 @@
         return text.toString();
     }
 
-    private static void write(JsonGenerator g, String pool, Standing s) throws IOException {
+    private static void write(JsonGenerator g, String pool, ServerStatus s) throws IOException {
         g.writeStartObject();
         g.writeStringField("pool", pool);
         g.writeStringField("server", s.server());
--- a/src/main/java/onyxpaddle/admin/SiteReport.java
+++ b/src/main/java/onyxpaddle/admin/SiteReport.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Map;
 import onyxpaddle.node.Dispatcher;
-import onyxpaddle.node.Gate;
+import onyxpaddle.node.SiteGate;
 
 /** How sites stand with a node, as JSON: an array, one object for each site of each pool that knows of sites. */
 public final class SiteReport {
@@ -22,9 +22,9 @@
         try (JsonGenerator g = new JsonFactory().createGenerator(text)) {
             g.writeStartArray();
             for (Map.Entry<String, Dispatcher> pool : pools.entrySet()) {
-                List<Gate.Site> sites = pool.getValue().sites();
+                List<SiteGate.Site> sites = pool.getValue().sites();
                 any |= sites != null;
-                for (Gate.Site site : sites == null ? List.<Gate.Site>of() : sites) {
+                for (SiteGate.Site site : sites == null ? List.<SiteGate.Site>of() : sites) {
                     g.writeStartObject();
                     g.writeStringField("pool", pool.getKey());
                     g.writeStringField("site", site.name());
--- a/src/main/java/onyxpaddle/bridge/Replaced.java
+++ b/src/main/java/onyxpaddle/bridge/AnswerReplacement.java
@@ -7,8 +7,8 @@
 import onyxpaddle.node.SharedLimit;
 
 /** Puts one answer in the place of another. */
-final class Replaced {
-    private Replaced() {
+final class AnswerReplacement {
+    private AnswerReplacement() {
     }
 
     /** The new answer, with the old one's body released; null where the memory for bodies has no room for it. */
--- a/src/main/java/onyxpaddle/bridge/HttpOverRpc.java
+++ b/src/main/java/onyxpaddle/bridge/HttpOverRpc.java
@@ -7,7 +7,7 @@
 import io.netty.handler.codec.http.HttpHeaders;
 import io.netty.handler.codec.http.HttpResponseStatus;
 import onyxpaddle.http.AnswerHead;
-import onyxpaddle.http.HttpHead;
+import onyxpaddle.http.HttpRequestHead;
 import onyxpaddle.node.Answer;
 import onyxpaddle.node.Body;
 import onyxpaddle.node.Exchange;
@@ -33,13 +33,13 @@
     }
 
     /** Whether a request's body can go to a server of MessagePack-RPC. */
-    public static boolean sound(Body body) {
+    public static boolean acceptsBody(Body body) {
         return body.size() == 0 || Values.items(body.whole()) >= 0;
     }
 
     @Override
     public RpcHead head(Exchange exchange) {
-        if (!(exchange.head instanceof HttpHead request)) {
+        if (!(exchange.head instanceof HttpRequestHead request)) {
             return (RpcHead) exchange.head;
         }
         int params = exchange.body.size() == 0 ? 0 : Values.items(exchange.body.whole());
@@ -49,7 +49,7 @@
 
     @Override
     public Answer answer(Exchange exchange, Answer answer) {
-        if (!(exchange.head instanceof HttpHead)) {
+        if (!(exchange.head instanceof HttpRequestHead)) {
             return answer;
         }
         ReplyHead head = (ReplyHead) answer.head();
@@ -63,6 +63,6 @@
             headers.set(ERROR, "1");
             status = Values.isOwnError(part) ? HttpResponseStatus.BAD_GATEWAY : HttpResponseStatus.UNPROCESSABLE_ENTITY;
         }
-        return Replaced.by(answer, new AnswerHead(status, headers, false), Unpooled.copiedBuffer(part), bytes);
+        return AnswerReplacement.by(answer, new AnswerHead(status, headers, false), Unpooled.copiedBuffer(part), bytes);
     }
 }
--- a/src/main/java/onyxpaddle/bridge/RpcOverHttp.java
+++ b/src/main/java/onyxpaddle/bridge/RpcOverHttp.java
@@ -9,7 +9,7 @@
 import io.netty.handler.codec.http.HttpStatusClass;
 import onyxpaddle.http.AnswerHead;
 import onyxpaddle.http.HttpBridge;
-import onyxpaddle.http.HttpHead;
+import onyxpaddle.http.HttpRequestHead;
 import onyxpaddle.node.Answer;
 import onyxpaddle.node.Body;
 import onyxpaddle.node.Exchange;
@@ -37,9 +37,9 @@
     }
 
     @Override
-    public HttpHead head(Exchange exchange) {
+    public HttpRequestHead head(Exchange exchange) {
         if (!(exchange.head instanceof RpcHead call)) {
-            return (HttpHead) exchange.head;
+            return (HttpRequestHead) exchange.head;
         }
         HttpHeaders headers = DefaultHttpHeadersFactory.headersFactory().newHeaders();
         headers.set(HttpHeaderNames.CONTENT_TYPE, MSGPACK);
@@ -50,7 +50,7 @@
         if (call.retry()) {
             headers.set("X-Second-Try", "1");
         }
-        return new HttpHead(HttpMethod.POST, call.mapped(), headers, largest, call.caller());
+        return new HttpRequestHead(HttpMethod.POST, call.mapped(), headers, largest, call.caller());
     }
 
     /** A key may be any text; what a header can't hold goes percent-encoded (RFC 3986, 2.1), which keeps keys apart. */
@@ -93,6 +93,6 @@
                 reply.writeBytes(body);
             }
         }
-        return Replaced.by(answer, new ReplyHead(errorBytes, failed), reply, bytes);
+        return AnswerReplacement.by(answer, new ReplyHead(errorBytes, failed), reply, bytes);
     }
 }
--- a/src/main/java/onyxpaddle/command/SitesCommand.java
+++ b/src/main/java/onyxpaddle/command/SitesCommand.java
@@ -11,9 +11,9 @@
 import java.util.concurrent.Callable;
 import onyxpaddle.config.Faults;
 import onyxpaddle.site.Fleet;
-import onyxpaddle.site.LossPlan;
+import onyxpaddle.site.FailoverPlan;
 import onyxpaddle.siteplan.PlanFile;
-import onyxpaddle.siteplan.PlanText;
+import onyxpaddle.siteplan.PlanReport;
 import onyxpaddle.siteplan.Planner;
 import onyxpaddle.siteplan.SitesReader;
 import picocli.CommandLine.Command;
@@ -46,13 +46,13 @@
         if (fleet == null) {
             return told(faults);
         }
-        LossPlan plan;
+        FailoverPlan plan;
         try {
             plan = Planner.plan(fleet);
         } catch (NoClassDefFoundError e) {
             return noSolver();
         }
-        PlanText.table(fleet, plan).forEach(spec.commandLine().getOut()::println);
+        PlanReport.table(fleet, plan).forEach(spec.commandLine().getOut()::println);
         if (out != null) {
             Path beside = out.resolveSibling(out.getFileName() + ".new");
             Files.writeString(beside, PlanFile.text(plan));
@@ -75,7 +75,7 @@
             return Lupinmount.USAGE;
         }
         try {
-            PlanText.explain(fleet, gone).forEach(spec.commandLine().getOut()::println);
+            PlanReport.explain(fleet, gone).forEach(spec.commandLine().getOut()::println);
             return 0;
         } catch (NoClassDefFoundError e) {
             return noSolver();
--- a/src/main/java/onyxpaddle/config/NodeConfigReader.java
+++ b/src/main/java/onyxpaddle/config/NodeConfigReader.java
@@ -19,8 +19,8 @@
 import onyxpaddle.config.NodeConfig.Server;
 import onyxpaddle.route.Procedure;
 import onyxpaddle.route.Route;
-import onyxpaddle.route.RouteFaults;
-import onyxpaddle.route.RouteFaults.Conflict;
+import onyxpaddle.route.RouteConflicts;
+import onyxpaddle.route.RouteConflicts.Conflict;
 
 /** Reads a node's configuration and finds all that is wrong with it, of form and of sense, in one run. */
 public final class NodeConfigReader {
@@ -324,7 +324,7 @@
 
     /** Adds a fault for each two routes that conflict, at the place of the later one. */
     public static void conflicts(List<Route> routes, Map<Route, View> places, Faults faults) {
-        for (Conflict conflict : RouteFaults.find(routes)) {
+        for (Conflict conflict : RouteConflicts.find(routes)) {
             View at = places.get(conflict.route());
             View other = places.get(conflict.other());
             String who = "route `" + conflict.other().name() + "` at line " + other.place().line() + " ("
--- a/src/main/java/onyxpaddle/config/ProcedureReader.java
+++ b/src/main/java/onyxpaddle/config/ProcedureReader.java
@@ -46,7 +46,7 @@
                 places.put(procedure, view);
             }
         }
-        ProcedureTable.twice(procedures).forEach((later, first) -> faults.add(places.get(later).place("procedure"),
+        ProcedureTable.duplicates(procedures).forEach((later, first) -> faults.add(places.get(later).place("procedure"),
             places.get(later).path("procedure"), "`" + later.pattern() + "` stands twice, first at line "
                 + places.get(first).place().line(), "each procedure once on a listener"));
         return procedures;
--- a/src/main/java/onyxpaddle/control/ControlProcess.java
+++ b/src/main/java/onyxpaddle/control/ControlProcess.java
@@ -16,7 +16,7 @@
 import onyxpaddle.distribution.ConfigurationTable;
 import onyxpaddle.distribution.ConfigurationWatch;
 import onyxpaddle.node.Log;
-import onyxpaddle.node.Sockets;
+import onyxpaddle.node.SocketBuffers;
 
 /** A control process: keeps the configuration of a fleet, and tells it to nodes and to other control processes. */
 public final class ControlProcess implements AutoCloseable {
@@ -26,7 +26,7 @@
     private final FileChannel lock;
     private final DiskThread disk = new DiskThread();
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    private final ByteBufAllocator allocator = Sockets.allocator();
+    private final ByteBufAllocator allocator = SocketBuffers.allocator();
     private ControlCalls calls;
     private ControlServer server;
     private ConfigurationWatch watch;
--- a/src/main/java/onyxpaddle/distribution/ConfigurationWatch.java
+++ b/src/main/java/onyxpaddle/distribution/ConfigurationWatch.java
@@ -17,7 +17,7 @@
 import onyxpaddle.distribution.ReplicaSelector.Failed;
 import onyxpaddle.distribution.ReplicaSelector.Outcome;
 import onyxpaddle.node.Log;
-import onyxpaddle.watch.WatchCall;
+import onyxpaddle.watch.WatchClient;
 
 /**
  * Follows the configuration that control processes tell: one GET at a time, from the version held, at the replica that a
@@ -54,7 +54,7 @@
     private final ReplicaSelector selector;
     private final String identity;
     private final Holder holder;
-    private final WatchCall[] connections;
+    private final WatchClient[] connections;
     /** Replicas of which it was said that they are behind, since they last were not. */
     private final boolean[] toldBehind;
     private final UpdateAssembly assembly = new UpdateAssembly();
@@ -79,7 +79,7 @@
         this.selector = selector;
         this.identity = identity;
         this.holder = holder;
-        connections = new WatchCall[replicas.size()];
+        connections = new WatchClient[replicas.size()];
         toldBehind = new boolean[replicas.size()];
     }
 
@@ -95,9 +95,9 @@
             if (nextCall != null) {
                 nextCall.cancel(false);
             }
-            for (WatchCall connection : connections) {
+            for (WatchClient connection : connections) {
                 if (connection != null) {
-                    connection.drop();
+                    connection.disconnect();
                 }
             }
         });
@@ -135,15 +135,15 @@
     private void keepOnly(int replica) {
         for (int i = 0; i < connections.length; i++) {
             if (i != replica && connections[i] != null) {
-                connections[i].drop();
+                connections[i].disconnect();
                 connections[i] = null;
             }
         }
     }
 
-    private WatchCall connection(int replica) {
+    private WatchClient connection(int replica) {
         if (connections[replica] == null) {
-            connections[replica] = new WatchCall(loop, allocator, replicas.get(replica), UpdateJson.MOST_BYTES, new Ends(replica));
+            connections[replica] = new WatchClient(loop, allocator, replicas.get(replica), UpdateJson.MOST_BYTES, new Ends(replica));
         }
         return connections[replica];
     }
@@ -162,7 +162,7 @@
     // ---- how calls end ----
 
     /** Hears how the calls to one replica end. */
-    private final class Ends implements WatchCall.Listener {
+    private final class Ends implements WatchClient.Listener {
         private final int replica;
 
         private Ends(int replica) {
@@ -270,7 +270,7 @@
         boolean sound = outcome instanceof Answered;
         if (!sound) {
             assembly.clear();
-            connections[replica].drop();
+            connections[replica].disconnect();
             if (failures == 0 && why != null) {
                 Log.line("configuration: " + name(replica) + ": " + why);
             }
--- a/src/main/java/onyxpaddle/drain/NodeState.java
+++ b/src/main/java/onyxpaddle/drain/NodeState.java
@@ -36,7 +36,7 @@
 
     private Phase phase = Phase.SERVING;
     private long since;
-    private long longestPatience;
+    private long maxCallerTimeout;
     private long heardLate;
 
     public Phase phase() {
@@ -64,14 +64,14 @@
     }
 
     /**
-     * The process ends. {@code replaced}: another one listens at the same address; {@code patience}: how long any caller waits;
+     * The process ends. {@code replaced}: another one listens at the same address; {@code callerTimeout}: how long any caller waits;
      * {@code late}: how long ago, at the most, it was told before it heard, in nanoseconds: whoever kills it counts from there.
      */
-    public void end(long now, boolean replaced, long patience, long late) {
+    public void end(long now, boolean replaced, long callerTimeout, long late) {
         if (!ending()) {
             phase = replaced ? Phase.REPLACED : Phase.ENDING;
             since = now;
-            longestPatience = patience;
+            maxCallerTimeout = callerTimeout;
             heardLate = late;
         }
     }
@@ -83,7 +83,7 @@
     }
 
     /** Whether new work is asked for: what {@code /ready} says, so far as it is the node's own doing. */
-    public boolean wantsWork() {
+    public boolean acceptsWork() {
         return phase == Phase.SERVING;
     }
 
@@ -92,7 +92,7 @@
         return switch (phase) {
             case SERVING -> true;
             case DRAINING -> now - since < NO_NEW_CONNECTIONS;
-            case ENDING -> outlasts(LAST_CALL, now);
+            case ENDING -> canAnswerBeforeExit(LAST_CALL, now);
             case REPLACED -> false;
         };
     }
@@ -103,8 +103,8 @@
         return switch (phase) {
             case SERVING -> false;
             case DRAINING -> passed >= IDLE_GOES && now - idleSince >= JUST_IDLE;
-            case ENDING -> !outlasts(LAST_CALL, now) && now - idleSince >= JUST_IDLE;
-            case REPLACED -> now - idleSince >= REPLACED_IDLE || !outlasts(LAST_CALL, now);
+            case ENDING -> !canAnswerBeforeExit(LAST_CALL, now) && now - idleSince >= JUST_IDLE;
+            case REPLACED -> now - idleSince >= REPLACED_IDLE || !canAnswerBeforeExit(LAST_CALL, now);
         };
     }
 
@@ -112,11 +112,11 @@
      * Whether a request that has not come whole is turned away, as one that never ran. At an end that is with the last idle
      * connections: its last byte could come while the process goes, and it would be taken with nobody left to answer it.
      */
-    public boolean turnsAway(long now) {
+    public boolean rejectsIncomplete(long now) {
         return switch (phase) {
             case SERVING -> false;
             case DRAINING -> now - since >= NOTHING_TAKEN;
-            case ENDING, REPLACED -> !outlasts(LAST_CALL, now);
+            case ENDING, REPLACED -> !canAnswerBeforeExit(LAST_CALL, now);
         };
     }
 
@@ -138,9 +138,9 @@
         return phase != Phase.SERVING && now - since > refusing || phase != Phase.ENDING && closesIdle(idleSince, now);
     }
 
-    /** Whether a caller with so much patience has its answer before the process ends; who waits for longer than it does, counts as waiting for as long. */
-    public boolean outlasts(long patience, long now) {
-        return !ending() || now + Math.min(patience, longestPatience) <= endsAt();
+    /** Whether a caller with so much callerTimeout has its answer before the process ends; who waits for longer than it does, counts as waiting for as long. */
+    public boolean canAnswerBeforeExit(long callerTimeout, long now) {
+        return !ending() || now + Math.min(callerTimeout, maxCallerTimeout) <= endsAt();
     }
 
     /**
@@ -151,7 +151,7 @@
         long passed = now - since;
         return switch (phase) {
             case SERVING, DRAINING -> false;
-            case ENDING -> passed >= LISTEN_ON && (now - lastAccept >= QUIET || passed >= LISTEN_AT_MOST || !outlasts(LAST_CALL, now));
+            case ENDING -> passed >= LISTEN_ON && (now - lastAccept >= QUIET || passed >= LISTEN_AT_MOST || !canAnswerBeforeExit(LAST_CALL, now));
             case REPLACED -> true;
         };
     }
@@ -162,6 +162,6 @@
     }
 
     private long endsAt() {
-        return since + longestPatience + GRACE - heardLate;
+        return since + maxCallerTimeout + GRACE - heardLate;
     }
 }
--- a/src/main/java/onyxpaddle/front/ListeningFront.java
+++ b/src/main/java/onyxpaddle/front/ListeningFront.java
@@ -15,12 +15,12 @@
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
 import onyxpaddle.drain.NodeState;
-import onyxpaddle.node.Budget;
+import onyxpaddle.node.ResourceBudget;
 import onyxpaddle.node.Clock;
 import onyxpaddle.node.Dispatcher;
 import onyxpaddle.node.Front;
 import onyxpaddle.node.SharedLimit;
-import onyxpaddle.node.Sockets;
+import onyxpaddle.node.SocketBuffers;
 import onyxpaddle.socket.PollableChannel;
 
 /**
@@ -35,7 +35,7 @@
     private static final long LAST_WORDS = 100_000_000L;
 
     /** What a front shares with the rest of its node. */
-    public record Surroundings(EventLoop loop, ByteBufAllocator allocator, Clock clock, Budget budget, NodeState state) {
+    public record Surroundings(EventLoop loop, ByteBufAllocator allocator, Clock clock, ResourceBudget budget, NodeState state) {
     }
 
     protected final Clock clock;
@@ -44,7 +44,7 @@
     private final SharedLimit.Share connections;
     private final long sweepMs;
     private final WriteBufferWaterMark marks;
-    private final Attention attention;
+    private final StallDetector attention;
     /** The one that came first is first. */
     private final Set<C> open = new LinkedHashSet<>();
     private SharedListener listener;
@@ -62,7 +62,7 @@
         this.connections = around.budget().front();
         this.sweepMs = sweepMs;
         this.marks = marks;
-        this.attention = new Attention(TimeUnit.MILLISECONDS.toNanos(sweepMs));
+        this.attention = new StallDetector(TimeUnit.MILLISECONDS.toNanos(sweepMs));
     }
 
     // ---- what a protocol adds ----
@@ -71,7 +71,7 @@
     protected abstract void begin(PollableChannel channel);
 
     /** The connection that goes where there are too many, {@code newest} being the last that came; null for none. */
-    protected abstract C dispensable(C newest);
+    protected abstract C evictionCandidate(C newest);
 
     /** A connection is gone. */
     protected void gone(C connection) {
@@ -94,7 +94,7 @@
             .option(ChannelOption.AUTO_READ, false)
             .childOption(ChannelOption.ALLOCATOR, around.allocator())
             .childOption(ChannelOption.TCP_NODELAY, true)
-            .childOption(ChannelOption.RECVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(Sockets.READ_SIZE))
+            .childOption(ChannelOption.RECVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(SocketBuffers.READ_SIZE))
             .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, marks)
             .childHandler(new ChannelInitializer<PollableChannel>() {
                 @Override
@@ -169,8 +169,8 @@
     public void opened(C c) {
         acceptedAt = clock.now();
         open.add(c);
-        connections.takeAnyway(1);
-        C goes = crowded() ? dispensable(c) : null;
+        connections.forceTake(1);
+        C goes = nearConnectionLimit() ? evictionCandidate(c) : null;
         if (goes != null) {
             // It is let go of here and now: its own word that it has closed comes only after further accepts.
             closed(goes);
@@ -198,12 +198,12 @@
     }
 
     /** Whether there are so many callers that a further request is turned away. */
-    public boolean crowded() {
-        return around.budget().crowded(connections);
+    public boolean nearConnectionLimit() {
+        return around.budget().nearConnectionLimit(connections);
     }
 
     /**
-     * Looks at each connection. Guards against a process that goes on after it stood still and closes, before it reads, the
+     * PollTimes at each connection. Guards against a process that goes on after it stood still and closes, before it reads, the
      * connections on which requests came meanwhile: each is a request lost. A caller that is silent on purpose keeps its
      * connection for as much longer as the node stood still.
      */
@@ -212,7 +212,7 @@
         long stood = attention.looks(now);
         for (C c : List.copyOf(open)) {
             if (stood > 0) {
-                c.stoodStill(stood, now);
+                c.compensateStall(stood, now);
             }
             c.sweep(now);
         }
@@ -246,11 +246,11 @@
         if (open.stream().anyMatch(FrontConnection::waits) || !open.isEmpty() && !state.over(now)) {
             return;
         }
-        boolean quiet = true;
+        boolean safeToClose = true;
         for (C c : List.copyOf(open)) {
-            quiet &= c.quiet();
+            safeToClose &= c.safeToClose();
         }
-        if (quiet || state.over(now - LAST_WORDS)) {
+        if (safeToClose || state.over(now - LAST_WORDS)) {
             ending.cancel(false);
             List.copyOf(open).forEach(FrontConnection::close);
             done.run();
--- a/src/main/java/onyxpaddle/front/LoopClock.java
+++ b/src/main/java/onyxpaddle/front/LoopClock.java
@@ -9,11 +9,11 @@
 
 /** The clock of a node with one event loop, which tells it when it looks at its sockets. */
 public final class LoopClock extends Clock {
-    private final Looks looks = new Looks();
+    private final PollTimes looks = new PollTimes();
 
     @Override
-    public long cameSince() {
-        return looks.cameSince(now());
+    public long earliestArrival() {
+        return looks.earliestArrival(now());
     }
 
     @Override
@@ -22,7 +22,7 @@
     }
 
     /** Makes the handler of the loop that this is the clock of. */
-    public IoHandlerFactory watching(IoHandlerFactory inner) {
+    public IoHandlerFactory instrument(IoHandlerFactory inner) {
         return executor -> new Watched(inner.newHandler(executor));
     }
 
--- a/src/main/java/onyxpaddle/front/Looks.java
+++ b/src/main/java/onyxpaddle/front/PollTimes.java
@@ -4,7 +4,7 @@
  * When a loop looked at its sockets, and so when what it reads can have come: not when it is read, as a loop that is busy, stopped, or
  * gets little of a processor, reads late what its machine has long accepted. It does no I/O and is handed the time, in nanoseconds.
  */
-final class Looks {
+final class PollTimes {
     /** A look of a quick loop that took so long found nothing at first: what it then found has just come. */
     private static final long WAITED = 1_000_000L;
     /** A look that finds something at once is less of a busy turn than this part. */
@@ -51,7 +51,7 @@
     }
 
     /** What is read in this turn came at this time or later, as the look before did not find it; {@code now} before the first look. */
-    long cameSince(long now) {
+    long earliestArrival(long now) {
         return last == 0 ? now : since;
     }
 
--- a/src/main/java/onyxpaddle/front/Attention.java
+++ b/src/main/java/onyxpaddle/front/StallDetector.java
@@ -5,7 +5,7 @@
  * goes on with its clocks far ahead and its sockets full of what came meanwhile; whoever judges silence by the clock must
  * first take off the time in which nobody listened. Does no I/O.
  */
-final class Attention {
+final class StallDetector {
     /** Later than planned by less than this is usual: garbage, a turn of much work. */
     static final long USUAL = 50_000_000L;
 
@@ -14,7 +14,7 @@
     private boolean begun;
 
     /** {@code every}: how often it is meant to look, in nanoseconds. */
-    Attention(long every) {
+    StallDetector(long every) {
         this.every = every;
     }
 
--- a/src/main/java/onyxpaddle/handover/HandoverMessage.java
+++ b/src/main/java/onyxpaddle/handover/HandoverMessage.java
@@ -14,9 +14,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.zip.CRC32C;
-import onyxpaddle.Balancing.ClassMemory;
-import onyxpaddle.Balancing.Memory;
-import onyxpaddle.Balancing.ServerMemory;
+import onyxpaddle.BalancerApi.ClassSnapshot;
+import onyxpaddle.BalancerApi.BalancerSnapshot;
+import onyxpaddle.BalancerApi.ServerSnapshot;
 
 /**
  * What one process of a node tells the next, as bytes: a magic, a version, the length and the CRC32C of the rest, and the
@@ -49,7 +49,7 @@
     }
 
     /** The message, by pool; servers that would make it too long are left out, as their state can be learnt again. */
-    public static byte[] write(Map<String, Memory> pools) throws IOException {
+    public static byte[] write(Map<String, BalancerSnapshot> pools) throws IOException {
         int most = MOST_SERVERS;
         byte[] payload = json(pools, most);
         while (payload.length > LARGEST && most > 0) {
@@ -87,7 +87,7 @@
     }
 
     /** Reads a whole message: what is known, by pool. */
-    public static Map<String, Memory> read(byte[] message) throws IOException {
+    public static Map<String, BalancerSnapshot> read(byte[] message) throws IOException {
         if (message.length < HEAD) {
             throw new IOException("a handover that breaks off in its head");
         }
@@ -100,7 +100,7 @@
             throw new IOException("a handover whose checksum is wrong");
         }
         try (JsonParser p = JSON.createParser(payload)) {
-            Map<String, Memory> pools = new LinkedHashMap<>();
+            Map<String, BalancerSnapshot> pools = new LinkedHashMap<>();
             open(p);
             while (another(p, pools.size(), MOST_POOLS)) {
                 expect(pools.put(text(p), memory(p)) == null);
@@ -117,11 +117,11 @@
 
     // ---- JSON: arrays by position, as both sides are of one version ----
 
-    private static byte[] json(Map<String, Memory> pools, int mostServers) throws IOException {
+    private static byte[] json(Map<String, BalancerSnapshot> pools, int mostServers) throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         try (JsonGenerator g = JSON.createGenerator(out)) {
             g.writeStartArray();
-            for (Map.Entry<String, Memory> pool : pools.entrySet()) {
+            for (Map.Entry<String, BalancerSnapshot> pool : pools.entrySet()) {
                 g.writeStartArray();
                 g.writeString(pool.getKey());
                 write(g, pool.getValue(), mostServers);
@@ -132,8 +132,8 @@
         return out.toByteArray();
     }
 
-    private static void write(JsonGenerator g, Memory memory, int mostServers) throws IOException {
-        List<ServerMemory> servers = memory.servers().subList(0, Math.min(mostServers, memory.servers().size()));
+    private static void write(JsonGenerator g, BalancerSnapshot memory, int mostServers) throws IOException {
+        List<ServerSnapshot> servers = memory.servers().subList(0, Math.min(mostServers, memory.servers().size()));
         g.writeNumber(memory.admitLimit());
         g.writeBoolean(memory.metLate());
         g.writeNumber(memory.retriesSaved());
@@ -146,7 +146,7 @@
         }
         g.writeEndArray();
         g.writeStartArray();
-        for (ClassMemory c : memory.classes()) {
+        for (ClassSnapshot c : memory.classes()) {
             g.writeStartArray();
             g.writeString(c.name());
             for (double figure : new double[] {c.trip(), c.deviation(), c.cost(), c.costVariance(), c.covariance()}) {
@@ -157,7 +157,7 @@
         }
         g.writeEndArray();
         g.writeStartArray();
-        for (ServerMemory s : servers) {
+        for (ServerSnapshot s : servers) {
             g.writeStartArray();
             g.writeString(s.server());
             g.writeNumber(s.startedAt());
@@ -177,7 +177,7 @@
         g.writeEndArray();
     }
 
-    private static Memory memory(JsonParser p) throws IOException {
+    private static BalancerSnapshot memory(JsonParser p) throws IOException {
         double admitLimit = number(p);
         boolean metLate = flag(p);
         double retriesSaved = number(p);
@@ -190,21 +190,21 @@
             expect(p.currentToken() == JsonToken.VALUE_STRING && takenOut.size() < MOST_SERVERS);
             takenOut.add(p.getText());
         }
-        List<ClassMemory> classes = new ArrayList<>();
+        List<ClassSnapshot> classes = new ArrayList<>();
         open(p);
         while (another(p, classes.size(), MOST_CLASSES)) {
-            classes.add(new ClassMemory(text(p), number(p), number(p), number(p), number(p), number(p), (int) whole(p)));
+            classes.add(new ClassSnapshot(text(p), number(p), number(p), number(p), number(p), number(p), (int) whole(p)));
             close(p);
         }
-        List<ServerMemory> servers = new ArrayList<>();
+        List<ServerSnapshot> servers = new ArrayList<>();
         open(p);
         while (another(p, servers.size(), MOST_SERVERS)) {
             servers.add(server(p));
         }
-        return new Memory(servers, whole, classes, takenOut, admitLimit, metLate, retriesSaved, usualRank, usualWorth);
+        return new BalancerSnapshot(servers, whole, classes, takenOut, admitLimit, metLate, retriesSaved, usualRank, usualWorth);
     }
 
-    private static ServerMemory server(JsonParser p) throws IOException {
+    private static ServerSnapshot server(JsonParser p) throws IOException {
         String id = text(p);
         long startedAt = whole(p);
         boolean leaving = flag(p);
@@ -222,7 +222,7 @@
             }
             trips.add(p.getDoubleValue());
         }
-        return new ServerMemory(id, startedAt, leaving, trips, sampledAt, errorShare, failures, failedAt, full, fullAt, credit);
+        return new ServerSnapshot(id, startedAt, leaving, trips, sampledAt, errorShare, failures, failedAt, full, fullAt, credit);
     }
 
     private static void open(JsonParser p) throws IOException {
--- a/src/main/java/onyxpaddle/handover/HandoverSocket.java
+++ b/src/main/java/onyxpaddle/handover/HandoverSocket.java
@@ -23,7 +23,7 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Supplier;
-import onyxpaddle.Balancing.Memory;
+import onyxpaddle.BalancerApi.BalancerSnapshot;
 import onyxpaddle.node.Log;
 
 /**
@@ -99,7 +99,7 @@
 
     /** Hears what the process that runs has said. */
     public interface Answered {
-        void answered(boolean present, Map<String, Memory> pools);
+        void answered(boolean present, Map<String, BalancerSnapshot> pools);
     }
 
     private final class Asking extends ChannelInboundHandlerAdapter {
@@ -111,7 +111,7 @@
             this.done = done;
         }
 
-        private void finish(boolean present, Map<String, Memory> pools) {
+        private void finish(boolean present, Map<String, BalancerSnapshot> pools) {
             if (!finished) {
                 finished = true;
                 got.release();
@@ -167,7 +167,7 @@
     // ---- the process that runs ----
 
     /** Answers the next process from now on; takes the path over from the one before. */
-    public void listen(Supplier<Map<String, Memory>> memory) {
+    public void listen(Supplier<Map<String, BalancerSnapshot>> memory) {
         try {
             Files.deleteIfExists(address.getPath());
         } catch (IOException e) {
@@ -203,11 +203,11 @@
     }
 
     private final class Telling extends ChannelInboundHandlerAdapter {
-        private final Supplier<Map<String, Memory>> memory;
+        private final Supplier<Map<String, BalancerSnapshot>> memory;
         private final byte[] expected = HandoverMessage.hello(node);
         private int heard;
 
-        Telling(Supplier<Map<String, Memory>> memory) {
+        Telling(Supplier<Map<String, BalancerSnapshot>> memory) {
             this.memory = memory;
         }
 
--- a/src/main/java/onyxpaddle/http/BodyRelay.java
+++ b/src/main/java/onyxpaddle/http/BodyRelay.java
@@ -48,13 +48,13 @@
         channel.write(new DefaultHttpContent(more));
         if (!channel.isWritable()) {
             channel.flush();
-            upload.wanted(this, channel.isWritable());
+            upload.setWritable(this, channel.isWritable());
         }
     }
 
     void writabilityChanged() {
         movedAt = clock.now();
-        upload.wanted(this, channel.isWritable());
+        upload.setWritable(this, channel.isWritable());
     }
 
     /** The server has taken nothing for so long. */
--- a/src/main/java/onyxpaddle/http/ClientConnection.java
+++ b/src/main/java/onyxpaddle/http/ClientConnection.java
@@ -35,8 +35,8 @@
 import onyxpaddle.node.Exchange;
 import onyxpaddle.node.Log;
 import onyxpaddle.node.Metadata;
-import onyxpaddle.node.Sockets;
-import onyxpaddle.node.Tally;
+import onyxpaddle.node.SocketBuffers;
+import onyxpaddle.node.RequestCounts;
 import onyxpaddle.socket.PollableChannel;
 
 /**
@@ -60,7 +60,7 @@
     /** Decoded parts that wait for the request before them: some requests sent ahead, not hundreds. */
     private static final int MOST_AHEAD = 32;
     /** And their bodies, in bytes: from there on the client is read no further until its answer is given. */
-    private static final int MOST_BYTES_AHEAD = 2 * Sockets.READ_SIZE;
+    private static final int MOST_BYTES_AHEAD = 2 * SocketBuffers.READ_SIZE;
 
     enum State {
         /** Between requests. */
@@ -95,10 +95,10 @@
     /** The request that is taken and waits for its answer, or null. */
     private Exchange exchange;
     /** The answer that is being passed on; null for none. */
-    private PassedAnswer passing;
+    private StreamedAnswer passing;
     /** Among the answers that the client has not read is one that was passed on as it came. */
     private boolean longAnswer;
-    private Taken taken;
+    private RoutedRequest taken;
     private boolean keepAlive;
     private HttpVersion version = HttpVersion.HTTP_1_1;
     private long unreadSince;
@@ -108,13 +108,13 @@
         this.all = all;
         this.channel = channel;
         this.acceptedAt = all.now();
-        this.came = all.clock().cameSince();
+        this.came = all.clock().earliestArrival();
         this.since = acceptedAt;
     }
 
     /** When the bytes at hand came, at the earliest: those of the turn after the accept may have come with the connection. */
-    private long cameSince() {
-        long since = all.clock().cameSince();
+    private long earliestArrival() {
+        long since = all.clock().earliestArrival();
         return since <= acceptedAt ? came : since;
     }
 
@@ -246,13 +246,13 @@
         keepAlive = HttpUtil.isKeepAlive(request);
         headOnly = request.method().equals(HttpMethod.HEAD);
         taken = null;
-        readiness = all.dialect.asksReadiness(request);
+        readiness = all.dialect.isReadinessCheck(request);
         if (readiness) {
             return;
         }
         try {
             taken = all.dialect.read(request, channel.remoteAddress());
-            if (all.crowded() || tooLate()) {
+            if (all.nearConnectionLimit() || tooLate()) {
                 // Nothing of it was sent on: another node may take it.
                 reject(HttpResponseStatus.SERVICE_UNAVAILABLE);
                 return;
@@ -262,7 +262,7 @@
                 channel.writeAndFlush(new DefaultFullHttpResponse(version, HttpResponseStatus.CONTINUE,
                     Unpooled.EMPTY_BUFFER));
             }
-        } catch (MalformedException e) {
+        } catch (RequestRejectedException e) {
             reject(e.status);
         }
     }
@@ -272,7 +272,7 @@
      * asked until that has come: a head that came in time says nothing of a body that takes seconds.
      */
     private boolean tooLate() {
-        return all.turnsAway() || taken != null && !all.outlasts(taken.terms().patience());
+        return all.rejectsIncomplete() || taken != null && !all.canAnswerBeforeExit(taken.terms().callerTimeout());
     }
 
     private void content(HttpContent content) {
@@ -291,7 +291,7 @@
             case MORE -> { }
             case WHOLE -> {
                 arrived();
-                taken.pool().arrived(exchange, cameSince());
+                taken.pool().arrived(exchange, earliestArrival());
             }
             case TOO_LARGE -> reject(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
             case NO_ROOM -> reject(HttpResponseStatus.SERVICE_UNAVAILABLE);
@@ -332,7 +332,7 @@
         dropIncoming();
         if (taken != null) {
             boolean busy = status.equals(HttpResponseStatus.SERVICE_UNAVAILABLE);
-            taken.pool().turnedAway(taken.terms(), busy ? Tally.End.BUSY : Tally.End.FAILURE);
+            taken.pool().countResult(taken.terms(), busy ? RequestCounts.RequestResult.BUSY : RequestCounts.RequestResult.FAILURE);
             taken = null;
         }
         answer(status, 0);
@@ -348,12 +348,12 @@
     // ---- answers ----
 
     @Override
-    public boolean streams() {
+    public boolean acceptsStreaming() {
         return true;
     }
 
     @Override
-    public AnswerSink begins(Metadata metadata, long length, AnswerSink.Source source) {
+    public AnswerSink beginAnswer(Metadata metadata, long length, AnswerSink.Source source) {
         AnswerHead head = (AnswerHead) metadata;
         DefaultHttpResponse response = new DefaultHttpResponse(version, head.status(), head.headers());
         if (length >= 0) {
@@ -367,7 +367,7 @@
         channel.write(response);
         moved();
         longAnswer = true;
-        passing = new PassedAnswer(this, channel, source);
+        passing = new StreamedAnswer(this, channel, source);
         return passing;
     }
 
@@ -411,7 +411,7 @@
 
     private void answer(HttpResponseStatus status, long retryAfter) {
         HttpHeaders headers = DefaultHttpHeadersFactory.headersFactory().newHeaders();
-        String text = all.dialect.ownAnswer(status, retryAfter, headers);
+        String text = all.dialect.localAnswer(status, retryAfter, headers);
         ByteBuf body = text.isEmpty() || headOnly ? Unpooled.EMPTY_BUFFER
             : Unpooled.copiedBuffer(text, StandardCharsets.UTF_8);
         finish(new DefaultFullHttpResponse(version, status, body, headers, EmptyHttpHeaders.INSTANCE), headOnly);
@@ -478,14 +478,14 @@
     }
 
     @Override
-    public boolean quiet() {
-        return !waits() && channel.poll() != PollableChannel.Found.BYTES;
+    public boolean safeToClose() {
+        return !waits() && channel.poll() != PollableChannel.PollResult.BYTES;
     }
 
     @Override
     public boolean left(boolean unseen) {
         boolean unread = unseen || !channel.config().isAutoRead();
-        return unread ? channel.poll() == PollableChannel.Found.END : !channel.isActive();
+        return unread ? channel.poll() == PollableChannel.PollResult.END : !channel.isActive();
     }
 
     @Override
@@ -494,7 +494,7 @@
     }
 
     @Override
-    public void stoodStill(long span, long now) {
+    public void compensateStall(long span, long now) {
         since = Math.min(now, since + span);
         unreadSince = Math.min(now, unreadSince + span);
     }
@@ -505,7 +505,7 @@
         switch (state) {
             case IDLE -> {
                 // A request that has come and is unread would be reset with it, and an answer on its way cut.
-                if ((spent > all.longestIdle(anyRequest) || all.closesIdle(since, now)) && quiet()) {
+                if ((spent > all.idleTimeout(anyRequest) || all.closesIdle(since, now)) && safeToClose()) {
                     close();
                 }
             }
--- a/src/main/java/onyxpaddle/http/HopByHop.java
+++ b/src/main/java/onyxpaddle/http/HopByHopHeaders.java
@@ -7,11 +7,11 @@
 import java.util.Set;
 
 /** Leaves out the headers that speak of one connection only (RFC 9110, 7.6.1). */
-final class HopByHop {
+final class HopByHopHeaders {
     private static final Set<String> FIELDS = Set.of("connection", "keep-alive", "proxy-connection",
         "proxy-authenticate", "proxy-authorization", "te", "trailer", "transfer-encoding", "upgrade");
 
-    private HopByHop() {
+    private HopByHopHeaders() {
     }
 
     /** Copies the headers that go on, but for those of these lower-case names. */
--- a/src/main/java/onyxpaddle/http/HttpBridge.java
+++ b/src/main/java/onyxpaddle/http/HttpBridge.java
@@ -8,8 +8,8 @@
     /** For requests of this protocol alone. */
     HttpBridge NONE = new HttpBridge() {
         @Override
-        public HttpHead head(Exchange exchange) {
-            return (HttpHead) exchange.head;
+        public HttpRequestHead head(Exchange exchange) {
+            return (HttpRequestHead) exchange.head;
         }
 
         @Override
@@ -19,7 +19,7 @@
     };
 
     /** The request as it goes to a server. */
-    HttpHead head(Exchange exchange);
+    HttpRequestHead head(Exchange exchange);
 
     /**
      * The answer, whose head is an {@link AnswerHead}, as it goes to the caller; it takes the place of the one given. Null
--- a/src/main/java/onyxpaddle/http/HttpFront.java
+++ b/src/main/java/onyxpaddle/http/HttpFront.java
@@ -8,7 +8,7 @@
 import java.util.function.BooleanSupplier;
 import onyxpaddle.front.ListeningFront;
 import onyxpaddle.node.Clock;
-import onyxpaddle.node.Sockets;
+import onyxpaddle.node.SocketBuffers;
 import onyxpaddle.socket.PollableChannel;
 
 /** The front for HTTP/1.1: which of its connections are idle, and what they are told as the node empties. */
@@ -39,8 +39,8 @@
     }
 
     @Override
-    public long longestPatience() {
-        return dialect.longestPatience();
+    public long maxCallerTimeout() {
+        return dialect.maxCallerTimeout();
     }
 
     @Override
@@ -49,11 +49,11 @@
         // Not HttpServerCodec: it breaks the connection off where much is sent ahead, and what is taken with it.
         channel.pipeline().addLast(connection.byteWatch(), new HttpRequestDecoder(new HttpDecoderConfig()
             .setMaxInitialLineLength(LONGEST_LINE).setMaxHeaderSize(LONGEST_HEAD)
-            .setMaxChunkSize(Sockets.READ_SIZE)), new HttpResponseEncoder(), connection);
+            .setMaxChunkSize(SocketBuffers.READ_SIZE)), new HttpResponseEncoder(), connection);
     }
 
     @Override
-    protected ClientConnection dispensable(ClientConnection newest) {
+    protected ClientConnection evictionCandidate(ClientConnection newest) {
         ClientConnection between = firstQuiet(idle);
         return between != null ? between : firstQuiet(unfinished);
     }
@@ -61,7 +61,7 @@
     /** Nothing that is taken, or that its client has sent, is given up for another. */
     private static ClientConnection firstQuiet(LinkedHashSet<ClientConnection> from) {
         for (ClientConnection c : from) {
-            if (c.quiet()) {
+            if (c.safeToClose()) {
                 return c;
             }
         }
@@ -86,7 +86,7 @@
     // ---- what its connections ask ----
 
     boolean ready() {
-        return state.wantsWork() && ready.getAsBoolean();
+        return state.acceptsWork() && ready.getAsBoolean();
     }
 
     Clock clock() {
@@ -97,9 +97,9 @@
         return clock.now();
     }
 
-    /** Whether a caller with so much patience has its answer before the node ends. */
-    boolean outlasts(long patience) {
-        return state.outlasts(patience, clock.now());
+    /** Whether a caller with so much callerTimeout has its answer before the node ends. */
+    boolean canAnswerBeforeExit(long callerTimeout) {
+        return state.canAnswerBeforeExit(callerTimeout, clock.now());
     }
 
     /** Whether the answer that is given now leaves its connection open. */
@@ -108,8 +108,8 @@
     }
 
     /** Whether a request that has not come whole is turned away, as the node is being emptied or ends. */
-    boolean turnsAway() {
-        return state.turnsAway(clock.now());
+    boolean rejectsIncomplete() {
+        return state.rejectsIncomplete(clock.now());
     }
 
     /** Whether a connection that has been between requests since then is closed, as the node is being emptied. */
@@ -118,8 +118,8 @@
     }
 
     /** How long a connection may stay open between requests; {@code asked}: it has asked for something before. */
-    long longestIdle(boolean asked) {
-        long longest = asked ? dialect.longestIdle() : dialect.longestSilence();
+    long idleTimeout(boolean asked) {
+        long longest = asked ? dialect.idleTimeout() : dialect.firstRequestTimeout();
         return retired() ? Math.min(longest, RETIRED_IDLE) : longest;
     }
 }
--- a/src/main/java/onyxpaddle/http/HttpHead.java
+++ b/src/main/java/onyxpaddle/http/HttpRequestHead.java
@@ -7,14 +7,14 @@
 /**
  * A request's head as it goes to a server.
  *
- * @param largestAnswer the most bytes its answer's body may have
+ * @param maxAnswerBytes the most bytes its answer's body may have
  * @param mapped the procedure it stands for where a server speaks MessagePack-RPC; null for none
  * @param caller whom it came from, in digits, for the servers to know; null where they aren't told
  */
-public record HttpHead(HttpMethod method, String uri, HttpHeaders headers, long largestAnswer, String caller, String mapped)
+public record HttpRequestHead(HttpMethod method, String uri, HttpHeaders headers, long maxAnswerBytes, String caller, String mapped)
         implements Metadata {
     /** One that goes to servers of HTTP alone. */
-    public HttpHead(HttpMethod method, String uri, HttpHeaders headers, long largestAnswer, String caller) {
-        this(method, uri, headers, largestAnswer, caller, null);
+    public HttpRequestHead(HttpMethod method, String uri, HttpHeaders headers, long maxAnswerBytes, String caller) {
+        this(method, uri, headers, maxAnswerBytes, caller, null);
     }
 }
--- a/src/main/java/onyxpaddle/http/HttpUpstream.java
+++ b/src/main/java/onyxpaddle/http/HttpUpstream.java
@@ -18,14 +18,14 @@
 import java.util.Set;
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
-import onyxpaddle.Balancing.Outcome;
-import onyxpaddle.Balancing.ServerState;
+import onyxpaddle.BalancerApi.Outcome;
+import onyxpaddle.BalancerApi.ServerState;
 import onyxpaddle.node.Attempt;
-import onyxpaddle.node.Budget.PoolShare;
+import onyxpaddle.node.ResourceBudget.PoolShare;
 import onyxpaddle.node.Clock;
 import onyxpaddle.node.Dispatcher;
-import onyxpaddle.node.Roster;
-import onyxpaddle.node.Sockets;
+import onyxpaddle.node.ServerList;
+import onyxpaddle.node.SocketBuffers;
 import onyxpaddle.node.Upstream;
 import onyxpaddle.socket.PollableChannel;
 
@@ -42,10 +42,10 @@
 
     final Clock clock;
     final PoolShare budget;
-    final AnswerDialect dialect;
+    final UpstreamDialect dialect;
     final Dispatcher dispatcher;
     final HttpBridge bridge;
-    final ReuseDoubt doubt = new ReuseDoubt();
+    final ReuseFailureRate doubt = new ReuseFailureRate();
     private final Bootstrap bootstrap;
     private final long mostIdle;
     private final int mostIdleCount;
@@ -68,14 +68,14 @@
      * mostIdleCount}: how many are kept to each server. At a rate r, some r times {@link #REST} are needed to dial none.
      */
     public HttpUpstream(EventLoop loop, ByteBufAllocator allocator, Clock clock, PoolShare budget,
-            Dispatcher dispatcher, AnswerDialect dialect, long mostIdle, long dialTimeout,
+            Dispatcher dispatcher, UpstreamDialect dialect, long mostIdle, long dialTimeout,
             int mostIdleCount) {
         this(loop, allocator, clock, budget, dispatcher, dialect, mostIdle, dialTimeout, mostIdleCount, HttpBridge.NONE);
     }
 
     /** As the other, with a bridge for requests of other protocols. */
     public HttpUpstream(EventLoop loop, ByteBufAllocator allocator, Clock clock, PoolShare budget,
-            Dispatcher dispatcher, AnswerDialect dialect, long mostIdle, long dialTimeout,
+            Dispatcher dispatcher, UpstreamDialect dialect, long mostIdle, long dialTimeout,
             int mostIdleCount, HttpBridge bridge) {
         this.bridge = bridge;
         this.clock = clock;
@@ -88,7 +88,7 @@
             .option(ChannelOption.ALLOCATOR, allocator)
             .option(ChannelOption.TCP_NODELAY, true)
             .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, dialTimeout / 1_000_000))
-            .option(ChannelOption.RECVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(Sockets.READ_SIZE))
+            .option(ChannelOption.RECVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(SocketBuffers.READ_SIZE))
             .option(ChannelOption.WRITE_BUFFER_WATER_MARK, new WriteBufferWaterMark(32 * 1024, 64 * 1024))
             .handler(new ChannelInitializer<Channel>() {
                 @Override
@@ -101,13 +101,13 @@
 
     // ---- servers ----
 
-    public void apply(Roster roster) {
+    public void apply(ServerList roster) {
         if (roster.whole()) {
             Set<String> left = new HashSet<>(peers.keySet());
             roster.hosts().forEach(host -> left.remove(host.entry().server()));
             left.forEach(this::remove);
         }
-        for (Roster.Host host : roster.hosts()) {
+        for (ServerList.Host host : roster.hosts()) {
             String server = host.entry().server();
             if (host.entry().state() == ServerState.GONE || host.address() == null) {
                 remove(server);
--- a/src/main/java/onyxpaddle/http/IncomingBody.java
+++ b/src/main/java/onyxpaddle/http/IncomingBody.java
@@ -7,7 +7,7 @@
 import onyxpaddle.node.Caller;
 import onyxpaddle.node.Clock;
 import onyxpaddle.node.Exchange;
-import onyxpaddle.node.Sockets;
+import onyxpaddle.node.SocketBuffers;
 import onyxpaddle.node.Upload;
 
 /**
@@ -35,7 +35,7 @@
         UNSOUND
     }
 
-    private final Taken taken;
+    private final RoutedRequest taken;
     private final Channel channel;
     private final Clock clock;
     private final Caller caller;
@@ -54,7 +54,7 @@
     private boolean over;
 
     /** {@code onPassedOn}: the last byte of a body that was passed on has come. */
-    IncomingBody(Taken taken, Channel channel, Clock clock, Caller caller, Runnable onPassedOn) {
+    IncomingBody(RoutedRequest taken, Channel channel, Clock clock, Caller caller, Runnable onPassedOn) {
         this.taken = taken;
         this.channel = channel;
         this.clock = clock;
@@ -93,7 +93,7 @@
             return last ? whole() : Fate.MORE;
         } else if (taken.whole() || received <= taken.held() && body.size() < LEAST_HELD) {
             return Fate.NO_ROOM;
-        } else if (taken.pool().holds(taken.terms().id())) {
+        } else if (taken.pool().hasRequest(taken.terms().id())) {
             return Fate.UNSOUND;
         }
         passOn(bytes, last);
@@ -101,7 +101,7 @@
     }
 
     private Fate whole() {
-        if (taken.pool().holds(taken.terms().id()) || !taken.sound().test(body)) {
+        if (taken.pool().hasRequest(taken.terms().id()) || !taken.sound().test(body)) {
             return Fate.UNSOUND;
         }
         over = true;
@@ -111,12 +111,12 @@
 
     /** It is larger than what is held, or there is no room to hold it: what follows goes on as it comes. */
     private void passOn(ByteBuf bytes, boolean last) {
-        beyond = Sockets.kept(bytes, channel.alloc());
+        beyond = SocketBuffers.kept(bytes, channel.alloc());
         beyondIsLast = last;
         upload = new Upload(taken.length(), this::read);
         exchange = new Exchange(taken.terms(), taken.head(), body, caller, upload);
         read(false);
-        taken.pool().arrived(exchange, clock.cameSince());
+        taken.pool().arrived(exchange, clock.earliestArrival());
     }
 
     /** Reads on or not, as the server that takes the body has room. */
@@ -144,23 +144,23 @@
     private boolean more(ByteBuf bytes, boolean last) {
         if (beyond != null) {
             // What was on its way when reading stopped.
-            beyond = Unpooled.wrappedBuffer(beyond, Sockets.kept(bytes, channel.alloc()));
+            beyond = Unpooled.wrappedBuffer(beyond, SocketBuffers.kept(bytes, channel.alloc()));
             beyondIsLast = last;
             return true;
         }
-        boolean flows = upload.flows();
-        if (!flows && !body.add(bytes)) {
+        boolean attached = upload.attached();
+        if (!attached && !body.add(bytes)) {
             return false;
         }
         if (last) {
             over = true;
             onPassedOn.run();
         }
-        if (flows) {
-            upload.offer(Sockets.kept(bytes, channel.alloc()), last);
+        if (attached) {
+            upload.offer(SocketBuffers.kept(bytes, channel.alloc()), last);
             body.release();
         } else if (last) {
-            upload.endedHeld();
+            upload.completeHeld();
         }
         return true;
     }
--- a/src/main/java/onyxpaddle/http/PlainRequests.java
+++ b/src/main/java/onyxpaddle/http/PlainRequestDialect.java
@@ -1,6 +1,6 @@
 package onyxpaddle.http;
 
-import static onyxpaddle.http.MalformedException.require;
+import static onyxpaddle.http.RequestRejectedException.require;
 
 import io.netty.handler.codec.http.HttpHeaderNames;
 import io.netty.handler.codec.http.HttpHeaders;
@@ -13,7 +13,7 @@
 import java.util.function.Predicate;
 import java.util.function.Supplier;
 import java.util.regex.Pattern;
-import onyxpaddle.Balancing.RequestClass;
+import onyxpaddle.BalancerApi.RequestClass;
 import onyxpaddle.node.Body;
 import onyxpaddle.node.Dispatcher;
 import onyxpaddle.node.Exchange.Terms;
@@ -26,7 +26,7 @@
  * the deadline, and the node the id. A caller may add {@code Idempotency-Key}, {@code X-Expires-In} (seconds) and
  * {@code X-Second-Try: 1}.
  */
-public final class PlainRequests implements RequestDialect {
+public final class PlainRequestDialect implements RequestDialect {
     /** The node's own question, on any listener: 200 once a request can be served, 503 before. */
     public static final String READY = "/.lupinmount/ready";
     /** On every answer that the node gives by itself, so that it can be told from an application's. */
@@ -50,50 +50,50 @@
     private final Map<String, Target> pools;
     private final Map<String, Classes> classes;
     private final String tenant;
-    private final long longestIdle;
+    private final long idleTimeout;
     private final Supplier<String> ids;
     private final Predicate<Body> mapped;
-    private long longestPatience;
+    private long maxCallerTimeout;
 
     /**
      * {@code tenant} may be null; {@code ids}: a new one for each request, among all of the node; {@code mapped}:
      * whether a body can go on where its route names a procedure.
      */
-    public PlainRequests(RouteTable routes, Map<String, Target> pools, Map<String, Classes> classes, String tenant,
-            long longestIdle, Supplier<String> ids, Predicate<Body> mapped) {
+    public PlainRequestDialect(RouteTable routes, Map<String, Target> pools, Map<String, Classes> classes, String tenant,
+            long idleTimeout, Supplier<String> ids, Predicate<Body> mapped) {
         this.mapped = mapped;
         this.routes = routes;
         this.pools = Map.copyOf(pools);
         this.classes = Map.copyOf(classes);
         this.tenant = tenant;
-        this.longestIdle = longestIdle;
+        this.idleTimeout = idleTimeout;
         this.ids = ids;
-        routes.routes().forEach(r -> longestPatience = Math.max(longestPatience,
+        routes.routes().forEach(r -> maxCallerTimeout = Math.max(maxCallerTimeout,
             classes.get(r.requestClass()).keyed().deadline()));
     }
 
     @Override
-    public boolean asksReadiness(HttpRequest request) {
+    public boolean isReadinessCheck(HttpRequest request) {
         return request.uri().equals(READY) && request.method().equals(HttpMethod.GET);
     }
 
     @Override
-    public long longestPatience() {
-        return longestPatience;
+    public long maxCallerTimeout() {
+        return maxCallerTimeout;
     }
 
     @Override
-    public long longestSilence() {
-        return longestIdle;
+    public long firstRequestTimeout() {
+        return idleTimeout;
     }
 
     @Override
-    public long longestIdle() {
-        return longestIdle;
+    public long idleTimeout() {
+        return idleTimeout;
     }
 
     @Override
-    public String ownAnswer(HttpResponseStatus status, long retryAfter, HttpHeaders headers) {
+    public String localAnswer(HttpResponseStatus status, long retryAfter, HttpHeaders headers) {
         headers.set(OWN, "lupinmount");
         if (status.code() == 200) {
             return "";
@@ -115,13 +115,13 @@
     }
 
     @Override
-    public Taken read(HttpRequest request, InetSocketAddress caller) throws MalformedException {
+    public RoutedRequest read(HttpRequest request, InetSocketAddress caller) throws RequestRejectedException {
         HttpMethod method = request.method();
         HttpHeaders headers = request.headers();
         if (!Route.METHODS.contains(method.name())) {
-            throw new MalformedException(HttpResponseStatus.NOT_IMPLEMENTED);
+            throw new RequestRejectedException(HttpResponseStatus.NOT_IMPLEMENTED);
         }
-        String host = PlatformRequests.single(headers, "Host");
+        String host = PlatformRequestDialect.single(headers, "Host");
         // RFC 9112, 3.2: a request of HTTP/1.1 has one.
         require(host != null || !request.protocolVersion().equals(HttpVersion.HTTP_1_1));
         String uri = request.uri();
@@ -131,27 +131,27 @@
             host = uri.substring("http://".length(), slash < 0 ? uri.length() : slash);
             uri = slash < 0 ? "/" : uri.substring(slash);
         }
-        String path = PlatformRequests.path(uri);
+        String path = PlatformRequestDialect.path(uri);
         // A path that means another one to the server could slip past a route.
         require(TARGET.matcher(uri).matches() && !DOTS.matcher(path).find());
         Route route = routes.find(withoutPort(host), path, method.name(), headers::get);
         if (route == null) {
-            throw new MalformedException(HttpResponseStatus.NOT_FOUND);
+            throw new RequestRejectedException(HttpResponseStatus.NOT_FOUND);
         }
         Target target = pools.get(route.pool());
         Classes about = classes.get(route.requestClass());
-        String key = PlatformRequests.single(headers, "Idempotency-Key");
+        String key = PlatformRequestDialect.single(headers, "Idempotency-Key");
         RequestClass requestClass = key == null || key.isEmpty() ? about.unkeyed() : about.keyed();
-        long length = PlatformRequests.length(request);
+        long length = PlatformRequestDialect.length(request);
         if (length > target.body()) {
-            throw new MalformedException(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
+            throw new RequestRejectedException(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
         }
-        long patience = PlatformRequests.patience(PlatformRequests.single(headers, PlatformRequests.EXPIRES_IN),
+        long callerTimeout = PlatformRequestDialect.callerTimeout(PlatformRequestDialect.single(headers, PlatformRequestDialect.EXPIRES_IN),
             requestClass.deadline());
-        String onward = uri == path ? route.rewritten(path) : route.rewritten(path) + uri.substring(path.length());
-        Terms terms = new Terms(ids.get(), requestClass, patience, tenant, 0, "1".equals(headers.get("X-Second-Try")));
+        String onward = uri == path ? route.rewrittenPath(path) : route.rewrittenPath(path) + uri.substring(path.length());
+        Terms terms = new Terms(ids.get(), requestClass, callerTimeout, tenant, 0, "1".equals(headers.get("X-Second-Try")));
         boolean mappedTo = route.procedure() != null;
-        return new Taken(target.pool(), target.bytes(), terms, new HttpHead(method, onward, headers, target.body(),
+        return new RoutedRequest(target.pool(), target.bytes(), terms, new HttpRequestHead(method, onward, headers, target.body(),
             caller.getAddress().getHostAddress(), route.procedure()), length, target.body(),
             mappedTo ? target.body() : target.held(), mappedTo, mappedTo ? mapped : body -> true);
     }
--- a/src/main/java/onyxpaddle/http/PlainAnswers.java
+++ b/src/main/java/onyxpaddle/http/PlainUpstreamDialect.java
@@ -9,36 +9,36 @@
 import io.netty.handler.codec.http.HttpStatusClass;
 import java.net.SocketAddress;
 import java.util.Set;
-import onyxpaddle.Balancing.Outcome;
+import onyxpaddle.BalancerApi.Outcome;
 
 /**
  * Answers of ordinary HTTP servers: all but hop-by-hop headers pass, and so does every status. 500, 502, 503 and 504
  * count as failures of the server, may be tried again where the class allows, and go to the caller if nothing better
  * comes; every other status is the answer. A 503 or 504 with {@code X-Never-Ran: 1} is a refusal that never ran.
  */
-public final class PlainAnswers implements AnswerDialect {
-    private static final Verdict TURNED_AWAY = new Verdict(Outcome.FULL, null);
+public final class PlainUpstreamDialect implements UpstreamDialect {
+    private static final Classification TURNED_AWAY = new Classification(Outcome.FULL, null);
     private static final Set<String> FOR_SERVER = Set.of("expect", "content-length", "x-expires-in", "x-forwarded-for");
     private static final Set<String> FRAMING = Set.of("content-length");
 
     private final String via;
 
     /** {@code node}: the name by which servers see this node in Via. */
-    public PlainAnswers(String node) {
+    public PlainUpstreamDialect(String node) {
         via = "1.1 " + node;
     }
 
     @Override
-    public HttpHeaders forServer(HttpHead x, long length, SocketAddress server, long nanosLeft) {
+    public HttpHeaders requestHeaders(HttpRequestHead x, long length, SocketAddress server, long nanosLeft) {
         HttpHeaders headers = DefaultHttpHeadersFactory.headersFactory().withValidation(false).newHeaders();
-        HopByHop.copy(x.headers(), headers, FOR_SERVER);
+        HopByHopHeaders.copy(x.headers(), headers, FOR_SERVER);
         if (!headers.contains(HttpHeaderNames.HOST)) {
             headers.set(HttpHeaderNames.HOST, server.toString().replaceFirst("^.*/", ""));
         }
         headers.add(HttpHeaderNames.VIA, via);
         String before = x.headers().get("X-Forwarded-For");
         headers.set("X-Forwarded-For", before == null ? x.caller() : before + ", " + x.caller());
-        headers.set(PlatformRequests.EXPIRES_IN, PlatformAnswers.seconds(Math.max(0, nanosLeft)));
+        headers.set(PlatformRequestDialect.EXPIRES_IN, PlatformUpstreamDialect.seconds(Math.max(0, nanosLeft)));
         if (length < 0) {
             headers.set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
         } else if (length > 0 || x.headers().contains(HttpHeaderNames.CONTENT_LENGTH) || takesBody(x.method())) {
@@ -52,17 +52,17 @@
     }
 
     @Override
-    public Verdict judge(HttpMethod method, HttpResponse response) {
+    public Classification classify(HttpMethod method, HttpResponse response) {
         int status = response.status().code();
         if ((status == 503 || status == 504) && "1".equals(response.headers().get("X-Never-Ran"))) {
             return TURNED_AWAY;
         }
         boolean bodiless = bodiless(method, status);
         HttpHeaders headers = DefaultHttpHeadersFactory.headersFactory().withValidation(false).newHeaders();
-        HopByHop.copy(response.headers(), headers, bodiless ? Set.of() : FRAMING);
+        HopByHopHeaders.copy(response.headers(), headers, bodiless ? Set.of() : FRAMING);
         boolean failed = response.status().codeClass() == HttpStatusClass.SERVER_ERROR
             && (status == 500 || status >= 502 && status <= 504);
-        return new Verdict(failed ? Outcome.ERROR : Outcome.OK, new AnswerHead(response.status(), headers, bodiless));
+        return new Classification(failed ? Outcome.ERROR : Outcome.OK, new AnswerHead(response.status(), headers, bodiless));
     }
 
     private static boolean bodiless(HttpMethod method, int status) {
@@ -70,8 +70,8 @@
     }
 
     @Override
-    public boolean tellsItsEnd(HttpMethod method, HttpResponse response, long length) {
-        return bodiless(method, response.status().code()) || PlatformAnswers.byClose(response, length)
-            || PlatformAnswers.framed(response, length);
+    public boolean isDelimited(HttpMethod method, HttpResponse response, long length) {
+        return bodiless(method, response.status().code()) || PlatformUpstreamDialect.byClose(response, length)
+            || PlatformUpstreamDialect.framed(response, length);
     }
 }
--- a/src/main/java/onyxpaddle/http/PlatformRequests.java
+++ b/src/main/java/onyxpaddle/http/PlatformRequestDialect.java
@@ -1,6 +1,6 @@
 package onyxpaddle.http;
 
-import static onyxpaddle.http.MalformedException.require;
+import static onyxpaddle.http.RequestRejectedException.require;
 
 import io.netty.handler.codec.http.HttpHeaderNames;
 import io.netty.handler.codec.http.HttpHeaderValues;
@@ -15,8 +15,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.regex.Pattern;
-import onyxpaddle.Balancing.Effect;
-import onyxpaddle.Balancing.RequestClass;
+import onyxpaddle.BalancerApi.Effect;
+import onyxpaddle.BalancerApi.RequestClass;
 import onyxpaddle.node.Dispatcher;
 import onyxpaddle.node.Exchange.Terms;
 import onyxpaddle.node.SharedLimit;
@@ -27,7 +27,7 @@
  * part of a head that decides what is done with the request. It would do harm where callers took liberties with the
  * protocol: each part is taken in one form only.
  */
-public final class PlatformRequests implements RequestDialect {
+public final class PlatformRequestDialect implements RequestDialect {
     static final String ID_HEADER = "X-Trace-Id";
     private static final String REQUEST_CLASS = "X-Qos";
     private static final String KEY = "Idempotency-Key";
@@ -38,7 +38,7 @@
     private static final Pattern SPAN = Pattern.compile("[0-9]{1,9}(\\.[0-9]{1,12})?");
     private static final long LONGEST_SILENCE = 2_200_000_000L;
     private static final long LONGEST_IDLE = 5_000_000_000L;
-    /** The patience of callers of a class that has no deadline. */
+    /** The callerTimeout of callers of a class that has no deadline. */
     private static final long LONGEST_PATIENCE = 60_000_000_000L;
 
     /** Bodies reach 32 MB, in requests and in answers; this is more by a quarter. */
@@ -54,7 +54,7 @@
     private final SharedLimit.Share bytes;
     private long longest;
 
-    public PlatformRequests(List<RequestClass> known, Dispatcher pool, SharedLimit.Share bytes) {
+    public PlatformRequestDialect(List<RequestClass> known, Dispatcher pool, SharedLimit.Share bytes) {
         this.pool = pool;
         this.bytes = bytes;
         for (RequestClass c : known) {
@@ -64,39 +64,39 @@
     }
 
     @Override
-    public boolean asksReadiness(HttpRequest request) {
+    public boolean isReadinessCheck(HttpRequest request) {
         return request.method().equals(HttpMethod.GET) && path(request.uri()).equals("/ready");
     }
 
     @Override
-    public long longestPatience() {
+    public long maxCallerTimeout() {
         return longest;
     }
 
     @Override
-    public long longestSilence() {
+    public long firstRequestTimeout() {
         return LONGEST_SILENCE;
     }
 
     @Override
-    public long longestIdle() {
+    public long idleTimeout() {
         return LONGEST_IDLE;
     }
 
     @Override
-    public String ownAnswer(HttpResponseStatus status, long retryAfter, HttpHeaders headers) {
+    public String localAnswer(HttpResponseStatus status, long retryAfter, HttpHeaders headers) {
         if (retryAfter > 0) {
-            headers.set(HttpHeaderNames.RETRY_AFTER, PlatformAnswers.seconds(retryAfter));
+            headers.set(HttpHeaderNames.RETRY_AFTER, PlatformUpstreamDialect.seconds(retryAfter));
         }
         return "";
     }
 
     @Override
-    public Taken read(HttpRequest request, InetSocketAddress caller) throws MalformedException {
+    public RoutedRequest read(HttpRequest request, InetSocketAddress caller) throws RequestRejectedException {
         HttpHeaders headers = request.headers();
         HttpMethod method = request.method();
         if (!method.equals(HttpMethod.GET) && !method.equals(HttpMethod.POST)) {
-            throw new MalformedException(HttpResponseStatus.METHOD_NOT_ALLOWED);
+            throw new RequestRejectedException(HttpResponseStatus.METHOD_NOT_ALLOWED);
         }
         String id = single(headers, ID_HEADER);
         require(id != null && ID.matcher(id).matches() && TARGET.matcher(request.uri()).matches());
@@ -105,7 +105,7 @@
         String named = single(headers, REQUEST_CLASS);
         RequestClass requestClass = classes.get(path);
         if (requestClass == null || named != null && !named.equals(path)) {
-            throw new MalformedException(HttpResponseStatus.NOT_FOUND);
+            throw new RequestRejectedException(HttpResponseStatus.NOT_FOUND);
         }
         Effect effect = requestClass.effect();
         String key = single(headers, KEY);
@@ -115,12 +115,12 @@
         long length = length(request);
         require(length == 0 || !method.equals(HttpMethod.GET));
         if (length > LARGEST) {
-            throw new MalformedException(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
+            throw new RequestRejectedException(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
         }
-        long patience = patience(single(headers, EXPIRES_IN), requestClass.deadline());
-        Terms terms = new Terms(id, requestClass, patience, headers.get("X-Customer"), hintedCost(headers),
+        long callerTimeout = callerTimeout(single(headers, EXPIRES_IN), requestClass.deadline());
+        Terms terms = new Terms(id, requestClass, callerTimeout, headers.get("X-Customer"), hintedCost(headers),
             "1".equals(headers.get("X-Second-Try")));
-        return new Taken(pool, bytes, terms, new HttpHead(method, request.uri(), headers, LARGEST, null), length,
+        return new RoutedRequest(pool, bytes, terms, new HttpRequestHead(method, request.uri(), headers, LARGEST, null), length,
             LARGEST, HELD);
     }
 
@@ -136,7 +136,7 @@
     }
 
     /** The body's length, -1 for chunks. One that states both is turned away by the decoder already. */
-    static long length(HttpRequest request) throws MalformedException {
+    static long length(HttpRequest request) throws RequestRejectedException {
         List<String> codings = request.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
         if (codings.isEmpty()) {
             return HttpUtil.getContentLength(request, 0L);
@@ -148,7 +148,7 @@
     }
 
     /** How long the caller waits; without its word as long as its class does, and never longer than that. */
-    static long patience(String seconds, long deadline) throws MalformedException {
+    static long callerTimeout(String seconds, long deadline) throws RequestRejectedException {
         long longest = deadline > 0 ? deadline : LONGEST_PATIENCE;
         if (seconds == null) {
             return longest;
@@ -160,7 +160,7 @@
     }
 
     /** The one value of a header that may not be repeated; null where it is absent. */
-    static String single(HttpHeaders headers, String name) throws MalformedException {
+    static String single(HttpHeaders headers, String name) throws RequestRejectedException {
         List<String> values = headers.getAll(name);
         require(values.size() <= 1);
         return values.isEmpty() ? null : values.get(0);
--- a/src/main/java/onyxpaddle/http/PlatformAnswers.java
+++ b/src/main/java/onyxpaddle/http/PlatformUpstreamDialect.java
@@ -12,24 +12,24 @@
 import java.net.SocketAddress;
 import java.util.List;
 import java.util.Set;
-import onyxpaddle.Balancing.Outcome;
+import onyxpaddle.BalancerApi.Outcome;
 
 /** What passes from a caller to a server of the platform, and back: of an answer, the body of a 200. */
-public final class PlatformAnswers implements AnswerDialect {
-    private static final Verdict TURNED_AWAY = new Verdict(Outcome.FULL, null);
-    private static final Verdict AT_FAULT = new Verdict(Outcome.REJECTED, null);
-    private static final Verdict ERROR = new Verdict(Outcome.ERROR, null);
+public final class PlatformUpstreamDialect implements UpstreamDialect {
+    private static final Classification TURNED_AWAY = new Classification(Outcome.FULL, null);
+    private static final Classification AT_FAULT = new Classification(Outcome.REJECTED, null);
+    private static final Classification ERROR = new Classification(Outcome.ERROR, null);
     /** The platform counts an answer as held back from 2 s on, whoever holds it. */
     private static final long LONGEST_STALL_LATE = 2_000_000_000L;
     /** What is written anew for each server. */
     private static final Set<String> OWN = Set.of("expect", "host", "content-length", "x-expires-in");
 
     @Override
-    public HttpHeaders forServer(HttpHead x, long length, SocketAddress server, long nanosLeft) {
+    public HttpHeaders requestHeaders(HttpRequestHead x, long length, SocketAddress server, long nanosLeft) {
         HttpHeaders headers = DefaultHttpHeadersFactory.headersFactory().withValidation(false).newHeaders();
         headers.set(HttpHeaderNames.HOST, x.headers().get(HttpHeaderNames.HOST, "app.svc"));
-        HopByHop.copy(x.headers(), headers, OWN);
-        headers.set(PlatformRequests.EXPIRES_IN, seconds(Math.max(0, nanosLeft)));
+        HopByHopHeaders.copy(x.headers(), headers, OWN);
+        headers.set(PlatformRequestDialect.EXPIRES_IN, seconds(Math.max(0, nanosLeft)));
         if (length < 0) {
             headers.set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
         } else if (length > 0 || x.method().equals(HttpMethod.POST)) {
@@ -44,12 +44,12 @@
      * so long after its caller's time: cutting off what it still gives would lose the request.
      */
     @Override
-    public long longestStall(boolean late) {
-        return late ? LONGEST_STALL_LATE : AnswerDialect.super.longestStall(false);
+    public long stallTimeout(boolean late) {
+        return late ? LONGEST_STALL_LATE : UpstreamDialect.super.stallTimeout(false);
     }
 
     @Override
-    public Verdict judge(HttpMethod method, HttpResponse response) {
+    public Classification classify(HttpMethod method, HttpResponse response) {
         int status = response.status().code();
         if (status == 200) {
             HttpHeaders headers = DefaultHttpHeadersFactory.headersFactory().withValidation(false).newHeaders();
@@ -57,7 +57,7 @@
             if (contentType != null) {
                 headers.set(HttpHeaderNames.CONTENT_TYPE, contentType);
             }
-            return new Verdict(Outcome.OK, new AnswerHead(HttpResponseStatus.OK, headers, false));
+            return new Classification(Outcome.OK, new AnswerHead(HttpResponseStatus.OK, headers, false));
         }
         // A refusal counts as never run only with the server's own word for it; a bare 503 may have run.
         boolean neverRan = (status == 503 || status == 504)
@@ -68,7 +68,7 @@
     }
 
     @Override
-    public boolean tellsItsEnd(HttpMethod method, HttpResponse response, long length) {
+    public boolean isDelimited(HttpMethod method, HttpResponse response, long length) {
         return framed(response, length) || byClose(response, length);
     }
 
--- a/src/main/java/onyxpaddle/http/ReadPace.java
+++ b/src/main/java/onyxpaddle/http/ReadThrottle.java
@@ -9,7 +9,7 @@
  * would cost a wakeup, a read and a write; it should cover any stream of small writes. It does harm where each piece of a
  * stream matters to its reader within milliseconds.
  */
-final class ReadPace {
+final class ReadThrottle {
     /** Reads of fewer bytes are pieces. */
     private static final int PIECE = 2 * 1024;
     /** So many of them in a row leave the next to gather. */
@@ -21,7 +21,7 @@
     private int readNow;
     private int pieces;
 
-    ReadPace(Channel channel) {
+    ReadThrottle(Channel channel) {
         this.channel = channel;
     }
 
--- a/src/main/java/onyxpaddle/http/RequestDialect.java
+++ b/src/main/java/onyxpaddle/http/RequestDialect.java
@@ -8,20 +8,20 @@
 /** What a listener makes of the requests that come to it. */
 public interface RequestDialect {
     /** Reads a head, and says where the request goes; {@code caller}: the address it came from. */
-    Taken read(HttpRequest request, InetSocketAddress caller) throws MalformedException;
+    RoutedRequest read(HttpRequest request, InetSocketAddress caller) throws RequestRejectedException;
 
     /** Whether the request asks the node itself if it is ready. */
-    boolean asksReadiness(HttpRequest request);
+    boolean isReadinessCheck(HttpRequest request);
 
     /** The longest that any caller here waits, in nanoseconds. */
-    long longestPatience();
+    long maxCallerTimeout();
 
     /** How long a connection that has never asked for anything stays open, in nanoseconds. */
-    long longestSilence();
+    long firstRequestTimeout();
 
     /** How long a connection stays open between requests, in nanoseconds. */
-    long longestIdle();
+    long idleTimeout();
 
     /** The body and headers of an answer that the node gives by itself; {@code retryAfter}: 0 for no advice. */
-    String ownAnswer(HttpResponseStatus status, long retryAfter, HttpHeaders headers);
+    String localAnswer(HttpResponseStatus status, long retryAfter, HttpHeaders headers);
 }
--- a/src/main/java/onyxpaddle/http/ReuseDoubt.java
+++ b/src/main/java/onyxpaddle/http/ReuseFailureRate.java
@@ -8,7 +8,7 @@
  * costs its server work, so it would do harm where kept ones break rarely and servers are near their limit; what may
  * be repeated goes on using kept ones, and so the doubt ends by itself.
  */
-final class ReuseDoubt {
+final class ReuseFailureRate {
     private static final double STEP = 1.0 / 32;
     /** A handshake is a small part of a call's work, a failed booking is all of it. */
     private static final double TOO_OFTEN = 0.02;
--- a/src/main/java/onyxpaddle/http/Taken.java
+++ b/src/main/java/onyxpaddle/http/RoutedRequest.java
@@ -17,10 +17,10 @@
  * @param held the most bytes of it that are held whole; what is larger, or has no room, is passed on as it comes
  * @param whole whether it must be held whole all the same: what it is can't be told from a part
  */
-public record Taken(Dispatcher pool, SharedLimit.Share bytes, Terms terms, HttpHead head, long length, long largest,
+public record RoutedRequest(Dispatcher pool, SharedLimit.Share bytes, Terms terms, HttpRequestHead head, long length, long largest,
         long held, boolean whole, Predicate<Body> sound) {
     /** One whose body may be anything. */
-    public Taken(Dispatcher pool, SharedLimit.Share bytes, Terms terms, HttpHead head, long length, long largest, long held) {
+    public RoutedRequest(Dispatcher pool, SharedLimit.Share bytes, Terms terms, HttpRequestHead head, long length, long largest, long held) {
         this(pool, bytes, terms, head, length, largest, held, false, body -> true);
     }
 }
--- a/src/main/java/onyxpaddle/http/ServerConnection.java
+++ b/src/main/java/onyxpaddle/http/ServerConnection.java
@@ -21,15 +21,15 @@
 import io.netty.handler.codec.http.HttpVersion;
 import io.netty.handler.codec.http.LastHttpContent;
 import io.netty.util.ReferenceCountUtil;
-import onyxpaddle.Balancing.Outcome;
-import onyxpaddle.http.AnswerDialect.Verdict;
+import onyxpaddle.BalancerApi.Outcome;
+import onyxpaddle.http.UpstreamDialect.Classification;
 import onyxpaddle.node.Answer;
 import onyxpaddle.node.AnswerSink;
 import onyxpaddle.node.Attempt;
 import onyxpaddle.node.Body;
 import onyxpaddle.node.Exchange;
 import onyxpaddle.node.Log;
-import onyxpaddle.node.Sockets;
+import onyxpaddle.node.SocketBuffers;
 import onyxpaddle.socket.PollableChannel;
 
 /**
@@ -76,14 +76,14 @@
     private long heardAt;
     /** The body that is being passed on; null for none. */
     private BodyRelay relay;
-    private final ReadPace pace;
+    private final ReadThrottle pace;
 
     ServerConnection(HttpUpstream all, String server, PollableChannel channel) {
         this.all = all;
         this.server = server;
         this.channel = channel;
-        this.pace = new ReadPace(channel);
-        decoder = new AnswerDecoder(new HttpDecoderConfig().setMaxChunkSize(Sockets.READ_SIZE));
+        this.pace = new ReadThrottle(channel);
+        decoder = new AnswerDecoder(new HttpDecoderConfig().setMaxChunkSize(SocketBuffers.READ_SIZE));
         channel.pipeline().addLast(new HttpRequestEncoder(), decoder, this);
     }
 
@@ -92,7 +92,7 @@
      * the loop last came to it. What is written to such a connection ends as a reset, and may have run.
      */
     boolean usable() {
-        return !exchanging && channel.poll() == PollableChannel.Found.NOTHING;
+        return !exchanging && channel.poll() == PollableChannel.PollResult.NOTHING;
     }
 
     void close() {
@@ -113,12 +113,12 @@
         startedAt = all.clock.now();
         kept = idleSince > 0;
         Exchange x = next.exchange;
-        HttpHead head = all.bridge.head(x);
+        HttpRequestHead head = all.bridge.head(x);
         method = head.method();
-        largest = head.largestAnswer();
+        largest = head.maxAnswerBytes();
         decoder.expect(head.method().equals(HttpMethod.HEAD));
         long length = x.upload == null ? x.body.size() : x.upload.length();
-        HttpHeaders headers = all.dialect.forServer(head, length, channel.remoteAddress(),
+        HttpHeaders headers = all.dialect.requestHeaders(head, length, channel.remoteAddress(),
             Math.min(x.timeLeft(startedAt), next.until - startedAt));
         ByteBuf body = x.body.size() == 0 ? Unpooled.EMPTY_BUFFER : x.body.whole();
         pace.startAnew();
@@ -134,7 +134,7 @@
 
     /** The request's last byte is in this write. */
     private void writes(Attempt of, ChannelFuture last) {
-        of.writing(last);
+        of.setLastWrite(last);
         last.addListener(f -> written(of, f.isSuccess()));
     }
 
@@ -204,7 +204,7 @@
         if (kept) {
             all.doubt.used(false);
         }
-        Verdict verdict = all.dialect.judge(method, response);
+        Classification verdict = all.dialect.classify(method, response);
         outcome = verdict.outcome();
         if (verdict.pass() == null) {
             // An error before the request was whole speaks of one that never ran.
@@ -213,7 +213,7 @@
         }
         long length = HttpUtil.getContentLength(response, -1L);
         boolean bodiless = verdict.pass().bodiless();
-        if (!attempt.written() || !bodiless && length > largest || !all.dialect.tellsItsEnd(method, response, length)) {
+        if (!attempt.written() || !bodiless && length > largest || !all.dialect.isDelimited(method, response, length)) {
             spoilt();
         } else {
             announced = bodiless ? 0 : length;
@@ -225,7 +225,7 @@
     }
 
     private boolean passable() {
-        return attempt != null && outcome == Outcome.OK && attempt.exchange.streams() && attempt.exchange.head instanceof HttpHead;
+        return attempt != null && outcome == Outcome.OK && attempt.exchange.acceptsStreaming() && attempt.exchange.head instanceof HttpRequestHead;
     }
 
     /** From here on the answer is passed on as it comes, from what is held of it. */
@@ -233,7 +233,7 @@
         Answer held = answer;
         answer = null;
         heardAt = all.clock.now();
-        sink = all.dispatcher.begins(attempt, held.head(), announced, source);
+        sink = all.dispatcher.beginAnswer(attempt, held.head(), announced, source);
         if (sink == null) {
             held.body().release();
             spoilt();
@@ -267,7 +267,7 @@
 
     private void content(HttpContent content) {
         skipped += content.content().readableBytes();
-        if (skipped > Math.max(Body.USUAL_LARGEST, largest)) {
+        if (skipped > Math.max(Body.DEFAULT_MAX_BYTES, largest)) {
             spoilt();
             return;
         }
@@ -282,7 +282,7 @@
         }
         if (sink != null && content.content().isReadable()) {
             heardAt = all.clock.now();
-            sink.data(Sockets.kept(content.content(), channel.alloc()));
+            sink.data(SocketBuffers.kept(content.content(), channel.alloc()));
         }
         if (content instanceof LastHttpContent && exchanging) {
             exchanging = false;
@@ -383,14 +383,14 @@
             close();
         }
         boolean silent = sink != null && !pace.paused()
-            && now - heardAt > all.dialect.longestStall(now > attempt.exchange.deadline());
+            && now - heardAt > all.dialect.stallTimeout(now > attempt.exchange.deadline());
         if (silent || relay != null && relay.stalls(now, LONGEST_STALL)) {
             close();
         }
     }
 
     private void broken() {
-        if (kept && attempt != null && !answered && all.clock.now() - startedAt < ReuseDoubt.SOON) {
+        if (kept && attempt != null && !answered && all.clock.now() - startedAt < ReuseFailureRate.SOON) {
             all.doubt.used(true);
         }
         end(attempt != null && !attempt.written() ? Outcome.CONNECT_FAILED : Outcome.RESET);
--- a/src/main/java/onyxpaddle/http/PassedAnswer.java
+++ b/src/main/java/onyxpaddle/http/StreamedAnswer.java
@@ -7,12 +7,12 @@
 import onyxpaddle.node.AnswerSink;
 
 /** An answer on its way to a client as it comes: what the client does not read is not brought. */
-final class PassedAnswer implements AnswerSink {
+final class StreamedAnswer implements AnswerSink {
     private final ClientConnection to;
     private final SocketChannel channel;
     private final Source source;
 
-    PassedAnswer(ClientConnection to, SocketChannel channel, Source source) {
+    StreamedAnswer(ClientConnection to, SocketChannel channel, Source source) {
         this.to = to;
         this.channel = channel;
         this.source = source;
--- a/src/main/java/onyxpaddle/http/AnswerDialect.java
+++ b/src/main/java/onyxpaddle/http/UpstreamDialect.java
@@ -4,30 +4,30 @@
 import io.netty.handler.codec.http.HttpMethod;
 import io.netty.handler.codec.http.HttpResponse;
 import java.net.SocketAddress;
-import onyxpaddle.Balancing.Outcome;
+import onyxpaddle.BalancerApi.Outcome;
 
 /** What a pool's servers are told, and what is made of the answers they give. */
-public interface AnswerDialect {
+public interface UpstreamDialect {
     /**
      * What an answer's head says of the attempt; {@code pass} is what goes to the caller with the body, null where
      * the answer is of no use to it.
      */
-    record Verdict(Outcome outcome, AnswerHead pass) {
+    record Classification(Outcome outcome, AnswerHead pass) {
     }
 
     /** {@code length}: of the request's body in bytes, or -1 where it goes in chunks. */
-    HttpHeaders forServer(HttpHead head, long length, SocketAddress server, long nanosLeft);
+    HttpHeaders requestHeaders(HttpRequestHead head, long length, SocketAddress server, long nanosLeft);
 
     /**
      * How long a server may bring nothing of an answer that is being passed on, in nanoseconds; {@code late}: its request's time
      * is up. It says nothing of a body that its caller does not read.
      */
-    default long longestStall(boolean late) {
+    default long stallTimeout(boolean late) {
         return ServerConnection.LONGEST_STALL;
     }
 
-    Verdict judge(HttpMethod method, HttpResponse response);
+    Classification classify(HttpMethod method, HttpResponse response);
 
     /** Whether the head tells where the body ends, so that an answer that broke off can't look like a short one. */
-    boolean tellsItsEnd(HttpMethod method, HttpResponse response, long length);
+    boolean isDelimited(HttpMethod method, HttpResponse response, long length);
 }
--- a/src/main/java/onyxpaddle/measure/DecisionsMeasurement.java
+++ b/src/main/java/onyxpaddle/measure/DecisionsMeasurement.java
@@ -4,7 +4,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
-import onyxpaddle.Balancing.*;
+import onyxpaddle.BalancerApi.*;
 import onyxpaddle.RatioBalancer;
 import onyxpaddle.measure.Measure.Measurement;
 
--- a/src/main/java/onyxpaddle/measure/SitesMeasurement.java
+++ b/src/main/java/onyxpaddle/measure/SitesMeasurement.java
@@ -22,7 +22,7 @@
     public void run(Figures figures, double part) throws Exception {
         Drill drill = DrillsMeasurement.shipped("peak-loss");
         Fleet fleet = DrillPlan.fleet(drill);
-        double optimum = Planner.solve(fleet, Set.of(LOST)).price().worth() / fleet.worth();
+        double optimum = Planner.solve(fleet, Set.of(LOST)).evaluation().worth() / fleet.worth();
         figures.put("the best that survivors could serve, of the worth that comes", optimum, "");
         List<Double> with = new ArrayList<>();
         List<Double> without = new ArrayList<>();
@@ -52,7 +52,7 @@
             figures.put(at + "worth in the 10 s after the loss, of the best", of, "");
             figures.put(at + "the same from the third second on", of(seconds, lost + 2, lost + SECONDS) / optimum, "");
             figures.put(at + "seconds until nine tenths of the best are served", until(seconds, lost, end, LEAST_OF_OPTIMUM * optimum), "s");
-            for (String name : fleet.refusedFirst()) {
+            for (String name : fleet.refusalOrder()) {
                 var c = seconds.ofClass(name, lost + 2, lost + SECONDS);
                 figures.put(at + name + " served in time meanwhile", (double) c.inAim() / Math.max(1, c.offered()), "");
             }
--- a/src/main/java/onyxpaddle/membership/Discovery.java
+++ b/src/main/java/onyxpaddle/membership/Discovery.java
@@ -11,8 +11,8 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import onyxpaddle.node.Log;
-import onyxpaddle.node.Roster;
-import onyxpaddle.watch.WatchCall;
+import onyxpaddle.node.ServerList;
+import onyxpaddle.watch.WatchClient;
 
 /**
  * Keeps the list of servers up to date: one call at a time, each a watch from the version held, the next at once
@@ -20,16 +20,16 @@
  * told soon after its wait. Where lists are pushed it goes on by itself; where discovery is asked it calls when
  * the module subscribes, and tells it when that failed.
  */
-public final class Discovery implements WatchCall.Listener {
+public final class Discovery implements WatchClient.Listener {
     /** Some 10,000 servers, indented and with long names. It bounds what an answer without end can make the node hold. */
     private static final int LARGEST_ANSWER = 8 << 20;
     /** Between calls that tell nothing and come back at once; within the 200 ms that a watch goes on. */
     private static final int PAUSE_MS = 100;
 
     private final EventLoop loop;
-    private final WatchCall calls;
+    private final WatchClient calls;
     private final boolean asked;
-    private final Consumer<Roster> onList;
+    private final Consumer<ServerList> onList;
     private final Runnable onRefused;
     private Future<?> nextCall;
     private boolean calling;
@@ -42,13 +42,13 @@
      * now, so that a whole list without any is not believed.
      */
     public Discovery(EventLoop loop, ByteBufAllocator allocator, InetSocketAddress address, boolean asked, long seq, boolean holdsAny,
-            Consumer<Roster> onList, Runnable onRefused) {
+            Consumer<ServerList> onList, Runnable onRefused) {
         this.loop = loop;
         this.asked = asked;
         this.watch = new ListWatch(asked, seq, holdsAny, ThreadLocalRandom.current());
         this.onList = onList;
         this.onRefused = onRefused;
-        calls = new WatchCall(loop, allocator, address, LARGEST_ANSWER, this);
+        calls = new WatchClient(loop, allocator, address, LARGEST_ANSWER, this);
     }
 
     public void start() {
@@ -73,7 +73,7 @@
         if (nextCall != null) {
             nextCall.cancel(false);
         }
-        calls.drop();
+        calls.disconnect();
     }
 
     /** The module asks for changes from now on. */
@@ -97,7 +97,7 @@
     @Override
     public void failed(String why, boolean turnedAway) {
         calling = false;
-        calls.drop();
+        calls.disconnect();
         if (watch.failures() == 0) {
             Log.line("discovery: " + why);
         }
@@ -120,7 +120,7 @@
             failed("answered " + response.status().code(), true);
             return;
         }
-        Roster roster;
+        ServerList roster;
         try {
             roster = RosterJson.parse(ByteBufUtil.getBytes(response.content()));
         } catch (IOException e) {
--- a/src/main/java/onyxpaddle/membership/ListFile.java
+++ b/src/main/java/onyxpaddle/membership/ListFile.java
@@ -8,7 +8,7 @@
 import java.util.function.Consumer;
 import java.util.function.Function;
 import onyxpaddle.node.Log;
-import onyxpaddle.node.Roster;
+import onyxpaddle.node.ServerList;
 
 /**
  * A list of servers in a file that is watched for change. Guards against a list that is read while it is written: it
@@ -19,13 +19,13 @@
  */
 public final class ListFile {
     private final Path file;
-    private final Function<Path, Optional<Roster>> reader;
-    private final Consumer<Roster> onList;
+    private final Function<Path, Optional<ServerList>> reader;
+    private final Consumer<ServerList> onList;
     private String seen = "";
     private String taken = "";
 
     /** {@code reader}: the list in the file, or nothing, with the reason said, where it is at fault. */
-    public ListFile(Path file, Function<Path, Optional<Roster>> reader, Consumer<Roster> onList) {
+    public ListFile(Path file, Function<Path, Optional<ServerList>> reader, Consumer<ServerList> onList) {
         this.file = file;
         this.reader = reader;
         this.onList = onList;
@@ -40,7 +40,7 @@
             return;
         }
         taken = state;
-        Optional<Roster> roster = reader.apply(file);
+        Optional<ServerList> roster = reader.apply(file);
         if (!state.equals(state())) {
             // It changed under the reader's eyes.
             taken = "";
--- a/src/main/java/onyxpaddle/membership/RosterJson.java
+++ b/src/main/java/onyxpaddle/membership/RosterJson.java
@@ -7,12 +7,12 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import onyxpaddle.Balancing.ServerEntry;
-import onyxpaddle.Balancing.ServerState;
+import onyxpaddle.BalancerApi.ServerEntry;
+import onyxpaddle.BalancerApi.ServerState;
 import onyxpaddle.node.Addresses;
 import onyxpaddle.node.Clock;
-import onyxpaddle.node.Roster;
-import onyxpaddle.node.Roster.Host;
+import onyxpaddle.node.ServerList;
+import onyxpaddle.node.ServerList.Host;
 
 /** Lists of servers as the platform's discovery words them. */
 public final class RosterJson {
@@ -23,10 +23,10 @@
     private RosterJson() {
     }
 
-    public static Roster parse(byte[] json) throws IOException {
+    public static ServerList parse(byte[] json) throws IOException {
         try (JsonParser parser = JSON.createParser(json)) {
             parser.nextToken();
-            Roster roster = read(parser);
+            ServerList roster = read(parser);
             if (parser.nextToken() != null) {
                 throw new IOException("list: more than one document");
             }
@@ -35,7 +35,7 @@
     }
 
     /** Reads the object that the parser stands on; anything that is not a whole, sound list is an error. */
-    public static Roster read(JsonParser p) throws IOException {
+    public static ServerList read(JsonParser p) throws IOException {
         long seq = -1;
         boolean whole = false;
         List<Host> hosts = null;
@@ -53,7 +53,7 @@
         if (seq < 0 || hosts == null) {
             throw new IOException("list: no seq or no hosts");
         }
-        return new Roster(seq, whole, hosts);
+        return new ServerList(seq, whole, hosts);
     }
 
     private static List<Host> hosts(JsonParser p) throws IOException {
--- a/src/main/java/onyxpaddle/node/Attempt.java
+++ b/src/main/java/onyxpaddle/node/Attempt.java
@@ -11,17 +11,17 @@
     long sentAt;
     /** When it is given up, by the node's clock in nanoseconds. */
     public long until;
-    Agenda.Item timer;
+    TimerQueue.Item timer;
     /** What carries it, such as a dial or a connection: the upstream's own, null before and after. */
     public Object carrier;
-    private final Tally tally;
-    private Future<?> writing;
+    private final RequestCounts tally;
+    private Future<?> setLastWrite;
     private boolean written;
     boolean ended;
     /** It has ended, and the server has certainly not run it. */
     boolean neverRan;
 
-    Attempt(Exchange exchange, int number, String server, long sentAt, long until, Tally tally) {
+    Attempt(Exchange exchange, int number, String server, long sentAt, long until, RequestCounts tally) {
         this.exchange = exchange;
         this.number = number;
         this.server = server;
@@ -31,8 +31,8 @@
     }
 
     /** The write that has the request's last byte. */
-    public void writing(Future<?> last) {
-        writing = last;
+    public void setLastWrite(Future<?> last) {
+        setLastWrite = last;
     }
 
     /**
@@ -40,7 +40,7 @@
      * listen to it may hear so only after a reset or an answer has been read: it would count as never run, and be sent again.
      */
     public boolean written() {
-        if (!written && writing != null && writing.isSuccess()) {
+        if (!written && setLastWrite != null && setLastWrite.isSuccess()) {
             markWritten();
         }
         return written;
--- a/src/main/java/onyxpaddle/node/Body.java
+++ b/src/main/java/onyxpaddle/node/Body.java
@@ -11,7 +11,7 @@
  */
 public final class Body {
     /** The platform's limit, for requests and for answers. */
-    public static final int USUAL_LARGEST = 64 * 1024;
+    public static final int DEFAULT_MAX_BYTES = 64 * 1024;
     private static final int LARGEST_PIECE = 64 * 1024;
     private static final int SMALL = 64 * 1024;
     /** The part of a pool's bytes open to larger bodies, so that a few long uploads don't stop the rest. */
--- a/src/main/java/onyxpaddle/node/Caller.java
+++ b/src/main/java/onyxpaddle/node/Caller.java
@@ -15,16 +15,16 @@
     }
 
     /** Whether an answer may be passed on to it as it comes. */
-    default boolean streams() {
+    default boolean acceptsStreaming() {
         return false;
     }
 
     /**
-     * The answer begins, and what it brings goes to the sink that this returns; only where it {@link #streams}.
+     * The answer beginAnswer, and what it brings goes to the sink that this returns; only where it {@link #acceptsStreaming}.
      *
      * @param length of the body in bytes, or -1 where it isn't known
      */
-    default AnswerSink begins(Metadata head, long length, AnswerSink.Source source) {
+    default AnswerSink beginAnswer(Metadata head, long length, AnswerSink.Source source) {
         throw new IllegalStateException("takes whole answers only");
     }
 
--- a/src/main/java/onyxpaddle/node/Clock.java
+++ b/src/main/java/onyxpaddle/node/Clock.java
@@ -17,7 +17,7 @@
     }
 
     /** What is read from a socket now came at this time or later; a clock that knows nothing of its loop says now. */
-    public long cameSince() {
+    public long earliestArrival() {
         return now();
     }
 
--- a/src/main/java/onyxpaddle/node/Dispatcher.java
+++ b/src/main/java/onyxpaddle/node/Dispatcher.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
-import onyxpaddle.Balancing.*;
+import onyxpaddle.BalancerApi.*;
 import onyxpaddle.RatioBalancer;
 import onyxpaddle.node.Exchange.Terms;
 
@@ -21,7 +21,7 @@
     /** An answer is lost half a second after its time; two fifths of that are kept for its way out. */
     private static final long ALLOWED = 300_000_000L;
     /**
-     * What came to the sockets within so long may not have been seen yet. A caller that has gone is owed that nothing begins for it from
+     * What came to the sockets within so long may not have been seen yet. A caller that has gone is owed that nothing beginAnswer for it from
      * 0.1 s on; half of that is left for the way of the attempt to its server.
      */
     private static final long UNSEEN = 50_000_000L;
@@ -36,26 +36,26 @@
     private final ArrayDeque<Event> events = new ArrayDeque<>();
     /** Null where the pool takes all that comes. */
     private final InFlightLimit limit;
-    private final Tally tally;
+    private final RequestCounts tally;
     /** Null where nothing is refused before the module is asked. */
-    private Gate gate;
+    private SiteGate gate;
     private Upstream upstream;
     private Runnable onSubscribe = () -> { };
-    private final Agenda agenda = new Agenda();
+    private final TimerQueue agenda = new TimerQueue();
     private long wakesAt = Long.MAX_VALUE;
     private boolean busyWithDue;
     private boolean delivering;
     private int unanswered;
-    /** Of this pool, by {@link Tally.End}; the tally has them by class. */
-    private final long[] ends = new long[Tally.End.values().length];
+    /** Of this pool, by {@link RequestCounts.RequestResult}; the tally has them by class. */
+    private final long[] ends = new long[RequestCounts.RequestResult.values().length];
 
     /** {@code loop}: the one thread on which everything here happens. */
-    public Dispatcher(Clock clock, ScheduledExecutorService loop, RatioBalancer module, Limits limits, Tally tally) {
+    public Dispatcher(Clock clock, ScheduledExecutorService loop, RatioBalancer module, Limits limits, RequestCounts tally) {
         this(clock, loop, module, limits, tally, null);
     }
 
     /** As the other, with a bound on requests at once. */
-    public Dispatcher(Clock clock, ScheduledExecutorService loop, RatioBalancer module, Limits limits, Tally tally,
+    public Dispatcher(Clock clock, ScheduledExecutorService loop, RatioBalancer module, Limits limits, RequestCounts tally,
             InFlightLimit limit) {
         this.clock = clock;
         this.loop = loop;
@@ -71,17 +71,17 @@
     }
 
     /** Asks this gate before the module, from now on. */
-    public void guard(Gate by) {
+    public void guard(SiteGate by) {
         gate = by;
     }
 
     /** How sites stand with this pool; null where nothing is known of sites. */
-    public List<Gate.Site> sites() {
-        return gate == null ? null : gate.standing(clock.now());
+    public List<SiteGate.Site> sites() {
+        return gate == null ? null : gate.siteStatuses(clock.now());
     }
 
     /** Operators hold a site, so that nothing new goes there, or release it; false where that can't be. */
-    public boolean operate(String site, boolean hold) {
+    public boolean setSiteHold(String site, boolean hold) {
         if (gate == null || !gate.operators(clock.now(), site, hold)) {
             return false;
         }
@@ -94,7 +94,7 @@
         return exchanges.isEmpty();
     }
 
-    public boolean holds(String id) {
+    public boolean hasRequest(String id) {
         return exchanges.containsKey(id);
     }
 
@@ -106,28 +106,28 @@
     }
 
     /** How many requests of this pool have ended so. */
-    public long ended(Tally.End how) {
+    public long ended(RequestCounts.RequestResult how) {
         return ends[how.ordinal()];
     }
 
     /** The servers on the list, and those of them that the module avoids now. */
-    public Fleet fleet() {
+    public FleetSummary fleet() {
         return module.fleet(clock.now());
     }
 
     /** How each server on the list stands. */
-    public List<Standing> standings() {
-        return module.standings(clock.now());
+    public List<ServerStatus> serverStatuses() {
+        return module.serverStatuses(clock.now());
     }
 
     /** What the process that takes this one's place need not learn anew. */
-    public Memory memory() {
-        return module.memory(clock.now());
+    public BalancerSnapshot snapshot() {
+        return module.snapshot(clock.now());
     }
 
     /** Goes on from what the process before this one has learnt. */
-    public void remember(Memory memory) {
-        module.remember(memory);
+    public void restore(BalancerSnapshot snapshot) {
+        module.restore(snapshot);
     }
 
     /** An operator takes a server out, or puts it back; false where neither the list nor what is out has it. */
@@ -140,13 +140,13 @@
     }
 
     /** A front answered a request of this pool before it was taken. */
-    public void turnedAway(Terms terms, Tally.End how) {
+    public void countResult(Terms terms, RequestCounts.RequestResult how) {
         ends[how.ordinal()]++;
         tally.ended(terms.requestClass().name(), how);
     }
 
-    private void count(Exchange x, Tally.End how) {
-        turnedAway(x.terms, how);
+    private void count(Exchange x, RequestCounts.RequestResult how) {
+        countResult(x.terms, how);
     }
 
     // ---- what happens ----
@@ -162,26 +162,26 @@
         doWhatIsDue();
         long now = clock.now();
         Terms terms = x.terms;
-        long ends = terms.patience() + Math.min(now, came + ALLOWED);
+        long ends = terms.callerTimeout() + Math.min(now, came + ALLOWED);
         if (ends <= now) {
             x.over = true;
             x.body.release();
-            turnedAway(terms, Tally.End.BUSY);
+            countResult(terms, RequestCounts.RequestResult.BUSY);
             x.caller.refused(0, null);
             return;
         }
         if (limit != null && !limit.admits(unanswered, terms.requestClass().worth())) {
             x.over = true;
             x.body.release();
-            turnedAway(terms, Tally.End.BUSY);
+            countResult(terms, RequestCounts.RequestResult.BUSY);
             x.caller.refused(limit.retryAfter(), null);
             return;
         }
-        long away = gate == null ? Gate.LET_IN : gate.refuses(now, terms.requestClass().name());
-        if (away != Gate.LET_IN) {
+        long away = gate == null ? SiteGate.ADMITTED : gate.refuses(now, terms.requestClass().name());
+        if (away != SiteGate.ADMITTED) {
             x.over = true;
             x.body.release();
-            turnedAway(terms, Tally.End.BUSY);
+            countResult(terms, RequestCounts.RequestResult.BUSY);
             x.caller.refused(away, null);
             return;
         }
@@ -203,7 +203,7 @@
         }
         long now = clock.now();
         x.came = now;
-        x.deadline = now + x.terms.patience();
+        x.deadline = now + x.terms.callerTimeout();
         x.guard.cancel();
         x.guard = agenda.add(x.deadline + GUARD, () -> overdue(x));
         attempt.sentAt = now;
@@ -214,10 +214,10 @@
     }
 
     /**
-     * An attempt's answer begins and is passed on as it comes: it is the request's final one from here on, and has no
+     * An attempt's answer beginAnswer and is passed on as it comes: it is the request's final one from here on, and has no
      * time-out. The attempt still ends by {@link #ended}, without an answer. Null where nobody waits for it.
      */
-    public AnswerSink begins(Attempt attempt, Metadata head, long length, AnswerSink.Source source) {
+    public AnswerSink beginAnswer(Attempt attempt, Metadata head, long length, AnswerSink.Source source) {
         Exchange x = attempt.exchange;
         if (attempt.ended || x.over) {
             return null;
@@ -227,7 +227,7 @@
         x.passing = attempt;
         x.source = source;
         x.guard.cancel();
-        AnswerSink sink = x.caller.begins(head, length, source);
+        AnswerSink sink = x.caller.beginAnswer(head, length, source);
         tell(new FirstByte(x.id, attempt.number, attempt.server, clock.now() - attempt.sentAt));
         return sink;
     }
@@ -261,12 +261,12 @@
         if (x.passing == attempt) {
             x.passing = null;
             unanswered--;
-            count(x, outcome == Outcome.OK ? Tally.End.SUCCESS : Tally.End.FAILURE);
+            count(x, outcome == Outcome.OK ? RequestCounts.RequestResult.SUCCESS : RequestCounts.RequestResult.FAILURE);
         } else if (outcome == Outcome.OK && finish(x)) {
             if (limit != null) {
                 limit.answered(clock.now() - x.came);
             }
-            count(x, Tally.End.SUCCESS);
+            count(x, RequestCounts.RequestResult.SUCCESS);
             x.caller.served(answer);
         } else if (answer != null && !x.over) {
             release(x.failure);
@@ -278,7 +278,7 @@
             gate.ended(clock.now(), attempt.server, outcome, clock.now() - attempt.sentAt);
         }
         // What is held of a body that has gone on in part is not the request any more.
-        Outcome how = outcome.neverRan && x.upload != null && x.upload.begun() ? Outcome.SPENT : outcome;
+        Outcome how = outcome.neverRan && x.upload != null && x.upload.begun() ? Outcome.NOT_REPLAYABLE : outcome;
         // Load reports are not passed on: the module takes no account of them.
         tell(new AttemptEnded(x.id, attempt.number, attempt.server, how, clock.now() - attempt.sentAt, x.over,
             null));
@@ -302,7 +302,7 @@
         if (!x.over) {
             Log.line("request " + x.id + " was left unanswered until its deadline");
             finish(x);
-            count(x, Tally.End.FAILURE);
+            count(x, RequestCounts.RequestResult.FAILURE);
             x.caller.failed(true, x.failure);
             tell(new ClientGone(x.id));
             forget(x);
@@ -346,7 +346,7 @@
         }
         busyWithDue = true;
         try {
-            for (Agenda.Item item = agenda.due(clock.now()); item != null; item = agenda.due(clock.now())) {
+            for (TimerQueue.Item item = agenda.due(clock.now()); item != null; item = agenda.due(clock.now())) {
                 try {
                     item.run();
                 } catch (RuntimeException e) {
@@ -392,14 +392,14 @@
         } else if (action instanceof Refuse refuse) {
             Exchange x = exchanges.get(refuse.request());
             if (x != null && finish(x)) {
-                count(x, Tally.End.BUSY);
+                count(x, RequestCounts.RequestResult.BUSY);
                 x.caller.refused(refuse.retryAfter(), x.failure);
                 forget(x);
             }
         } else if (action instanceof Fail fail) {
             Exchange x = exchanges.get(fail.request());
             if (x != null && finish(x)) {
-                count(x, Tally.End.FAILURE);
+                count(x, RequestCounts.RequestResult.FAILURE);
                 x.caller.failed(clock.now() >= x.deadline, x.failure);
                 forget(x);
             }
@@ -445,7 +445,7 @@
         }
         Exchange x = attempt.exchange;
         long now = clock.now();
-        if (!x.over && x.caller.left(now - clock.cameSince() > UNSEEN)) {
+        if (!x.over && x.caller.left(now - clock.earliestArrival() > UNSEEN)) {
             clientGone(x);
         }
         if (!attempt.ended && (x.over || x.keyForgotten(attempt, now))) {
--- a/src/main/java/onyxpaddle/node/Exchange.java
+++ b/src/main/java/onyxpaddle/node/Exchange.java
@@ -2,13 +2,13 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import onyxpaddle.Balancing.Effect;
-import onyxpaddle.Balancing.RequestClass;
+import onyxpaddle.BalancerApi.Effect;
+import onyxpaddle.BalancerApi.RequestClass;
 
 /** One request from a caller, from its head until its answer is given and no attempt is out any more. */
 public final class Exchange {
     /** What a front tells of a request: {@code tenant} may be null, {@code cost} is in seconds, 0 for no hint. */
-    public record Terms(String id, RequestClass requestClass, long patience, String tenant, double cost,
+    public record Terms(String id, RequestClass requestClass, long callerTimeout, String tenant, double cost,
             boolean clientRetry) {
     }
 
@@ -32,7 +32,7 @@
     int out;
     /** The final answer is given or has begun, or nobody waits for it. */
     boolean over;
-    Agenda.Item guard;
+    TimerQueue.Item guard;
     /** A server's own word for a failure, for the caller should no other server do better; null for none. */
     Answer failure;
     /** The attempt whose answer is being passed on; null for none. */
@@ -40,8 +40,8 @@
     AnswerSink.Source source;
 
     /** How long its caller waits, in nanoseconds. */
-    public long patience() {
-        return terms.patience();
+    public long callerTimeout() {
+        return terms.callerTimeout();
     }
 
     /**
@@ -50,7 +50,7 @@
      * is told so works on for nobody. Of a body that is passed on as it comes it is the whole time, which begins with its end.
      */
     public long timeLeft(long now) {
-        return upload != null ? terms.patience() : Math.max(0, Math.min(terms.patience(), came + UNSURE + terms.patience() - now));
+        return upload != null ? terms.callerTimeout() : Math.max(0, Math.min(terms.callerTimeout(), came + UNSURE + terms.callerTimeout() - now));
     }
 
     /** When its caller's time is up, by the node's clock. */
@@ -59,8 +59,8 @@
     }
 
     /** Whether its answer may be passed on as it comes. */
-    public boolean streams() {
-        return caller.streams();
+    public boolean acceptsStreaming() {
+        return caller.acceptsStreaming();
     }
 
     /** Whether the servers may have forgotten its key, under which an attempt before this one may have run. */
@@ -71,7 +71,7 @@
         }
         for (Attempt before : attempts) {
             if (before != next && !before.neverRan) {
-                return now >= before.sentAt + about.memory();
+                return now >= before.sentAt + about.keyRetention();
             }
         }
         return false;
--- a/src/main/java/onyxpaddle/node/Front.java
+++ b/src/main/java/onyxpaddle/node/Front.java
@@ -31,7 +31,7 @@
     boolean uses(Dispatcher pool);
 
     /** The longest that any caller here waits, in nanoseconds. */
-    long longestPatience();
+    long maxCallerTimeout();
 
     /**
      * The node's state has come to its end: answers what is taken, and what still comes as far as that state lets it, and
--- a/src/main/java/onyxpaddle/node/Tally.java
+++ b/src/main/java/onyxpaddle/node/RequestCounts.java
@@ -9,9 +9,9 @@
  * it is so; nothing else keeps such a count. Bounded by the classes that it starts with: a name that is not among them is
  * not counted. Used by the event loop alone.
  */
-public final class Tally {
+public final class RequestCounts {
     /** How a request ended for its caller: served, refused, failed. */
-    public enum End { SUCCESS, BUSY, FAILURE }
+    public enum RequestResult { SUCCESS, BUSY, FAILURE }
 
     /** A node whose classes a reload changes again and again must not grow for it. */
     private static final int MOST_CLASSES = 4_000;
@@ -19,7 +19,7 @@
     private final Map<String, long[]> classes = new LinkedHashMap<>();
     private long attempts;
 
-    public Tally(Collection<String> classNames) {
+    public RequestCounts(Collection<String> classNames) {
         know(classNames);
     }
 
@@ -27,12 +27,12 @@
     public void know(Collection<String> classNames) {
         for (String name : classNames) {
             if (classes.size() < MOST_CLASSES) {
-                classes.computeIfAbsent(name, n -> new long[End.values().length]);
+                classes.computeIfAbsent(name, n -> new long[RequestResult.values().length]);
             }
         }
     }
 
-    public void ended(String requestClass, End how) {
+    public void ended(String requestClass, RequestResult how) {
         long[] counts = classes.get(requestClass);
         if (counts != null) {
             counts[how.ordinal()]++;
@@ -47,7 +47,7 @@
         return classes.keySet();
     }
 
-    public long count(String requestClass, End how) {
+    public long count(String requestClass, RequestResult how) {
         return classes.get(requestClass)[how.ordinal()];
     }
 
--- a/src/main/java/onyxpaddle/node/Budget.java
+++ b/src/main/java/onyxpaddle/node/ResourceBudget.java
@@ -4,7 +4,7 @@
  * What the node may hold, from the limits in its configuration: bytes of bodies on the heap, and descriptors for
  * clients and for servers. Pools share the first and the last, fronts the second. Used by the event loop alone.
  */
-public final class Budget {
+public final class ResourceBudget {
     /** For the JVM's own files, the selector, the listener, discovery, and accepts that are under way. */
     private static final int RESERVED_DESCRIPTORS = 64;
     /** The part of the client connections that may have work taken in; those beyond are refused as they ask. */
@@ -14,7 +14,7 @@
     private final SharedLimit clients;
     private final SharedLimit servers;
 
-    public Budget(int descriptors, long heap) {
+    public ResourceBudget(int descriptors, long heap) {
         int usable = Math.max(16, descriptors - RESERVED_DESCRIPTORS);
         int forServers = usable * 2 / 5;
         bytes = new SharedLimit(heap / 2);
@@ -40,7 +40,7 @@
     }
 
     /** Whether a front with this share has so many clients that a further request is turned away. */
-    public boolean crowded(SharedLimit.Share front) {
+    public boolean nearConnectionLimit(SharedLimit.Share front) {
         long most = front.most();
         return front.held() > most * SERVED_CLIENTS;
     }
--- a/src/main/java/onyxpaddle/node/Roster.java
+++ b/src/main/java/onyxpaddle/node/ServerList.java
@@ -3,13 +3,13 @@
 import java.net.InetSocketAddress;
 import java.util.List;
 import java.util.Map;
-import onyxpaddle.Balancing.ServerEntry;
+import onyxpaddle.BalancerApi.ServerEntry;
 
 /**
  * A list of servers: the whole list, or the entries that changed. {@code seq} is the source's own version of it, 0
  * where it has none.
  */
-public record Roster(long seq, boolean whole, List<Host> hosts) {
+public record ServerList(long seq, boolean whole, List<Host> hosts) {
     /**
      * An entry for the module, and where this node reaches the server: {@code address} by HTTP, null where it doesn't
      * speak that or is gone; {@code more} by other protocols.
@@ -26,7 +26,7 @@
         }
     }
 
-    public Roster {
+    public ServerList {
         hosts = List.copyOf(hosts);
     }
 
--- a/src/main/java/onyxpaddle/node/SharedLimit.java
+++ b/src/main/java/onyxpaddle/node/SharedLimit.java
@@ -6,7 +6,7 @@
 /**
  * One limit that several hold together, such as bytes or descriptors, of which none can use up what the others need.
  * Half of it is shared out evenly as guaranteed parts, the other half goes to whoever asks first. The invariant: but
- * for what {@link Share#takeAnyway} adds, all hold no more than the total, and a member that holds less than its guarantee may always take up to it. Used by one
+ * for what {@link Share#forceTake} adds, all hold no more than the total, and a member that holds less than its guarantee may always take up to it. Used by one
  * thread alone.
  *
  * <p>Guards against a pool whose servers are silent, whose bodies and connections then pile up; it should cover any
@@ -92,7 +92,7 @@
         }
 
         /** Takes what cannot be helped, such as a connection that the system has accepted already. */
-        public void takeAnyway(long count) {
+        public void forceTake(long count) {
             held += count;
         }
 
--- a/src/main/java/onyxpaddle/node/Gate.java
+++ b/src/main/java/onyxpaddle/node/SiteGate.java
@@ -2,19 +2,19 @@
 
 import java.util.List;
 import java.util.Map;
-import onyxpaddle.Balancing.ListKind;
-import onyxpaddle.Balancing.Outcome;
-import onyxpaddle.Balancing.ServerEntry;
+import onyxpaddle.BalancerApi.ListKind;
+import onyxpaddle.BalancerApi.Outcome;
+import onyxpaddle.BalancerApi.ServerEntry;
 
 /**
  * Turns requests away before they take anything: no attempt, no connection, no place below. Hears what becomes of attempts and of the
  * list, and has no part in which server is chosen. Times are the node's clock in nanoseconds.
  */
-public interface Gate {
+public interface SiteGate {
     /** What {@link #refuses} answers for a request that is let in. */
-    long LET_IN = -1;
+    long ADMITTED = -1;
 
-    /** A request of this class has come: {@link #LET_IN}, or the span in nanoseconds after which its client may come back. */
+    /** A request of this class has come: {@link #ADMITTED}, or the span in nanoseconds after which its client may come back. */
     long refuses(long now, String requestClass);
 
     /** An attempt ended, so many nanoseconds after it was sent. */
@@ -24,7 +24,7 @@
     void listed(long now, ListKind kind, List<ServerEntry> entries);
 
     /** How each site stands, for on-call staff. */
-    List<Site> standing(long now);
+    List<Site> siteStatuses(long now);
 
     /** Operators hold a site, or release it; false where it is not known, or no other would be left. */
     boolean operators(long now, String site, boolean hold);
--- a/src/main/java/onyxpaddle/node/Sockets.java
+++ b/src/main/java/onyxpaddle/node/SocketBuffers.java
@@ -5,7 +5,7 @@
 import io.netty.buffer.PooledByteBufAllocator;
 
 /** Sizes that all sockets share. */
-public final class Sockets {
+public final class SocketBuffers {
     /** Most bytes of one read: what a stream may overshoot its write mark by, for every connection. */
     public static final int READ_SIZE = 16 * 1024;
     private static final int PAGE = 8 * 1024;
@@ -15,7 +15,7 @@
     private static final int SMALL_CACHED = 64;
     private static final int NORMAL_CACHED = 16;
 
-    private Sockets() {
+    private SocketBuffers() {
     }
 
     /**
--- a/src/main/java/onyxpaddle/node/Agenda.java
+++ b/src/main/java/onyxpaddle/node/TimerQueue.java
@@ -9,7 +9,7 @@
  * only after all that it has read, which on a node short of processor time is a second of work. Bounded by what is out: what
  * is cancelled is gone.
  */
-final class Agenda {
+final class TimerQueue {
     private final TreeSet<Item> items = new TreeSet<>(Comparator.comparingLong((Item i) -> i.at).thenComparingLong(i -> i.number));
     private long count;
 
--- a/src/main/java/onyxpaddle/node/Upload.java
+++ b/src/main/java/onyxpaddle/node/Upload.java
@@ -60,7 +60,7 @@
     }
 
     /** The last byte has come while no attempt took any: all of it is held. */
-    public void endedHeld() {
+    public void completeHeld() {
         whole = true;
     }
 
@@ -81,18 +81,18 @@
     }
 
     /** The attempt that takes it has room again, or has none. */
-    public void wanted(Sink by, boolean on) {
+    public void setWritable(Sink by, boolean on) {
         if (sink == by && !whole) {
             reader.read(on);
         }
     }
 
     /** Whether what comes next goes to an attempt; else it is held. */
-    public boolean flows() {
+    public boolean attached() {
         return sink != null;
     }
 
-    /** The next bytes of a body that {@link #flows}. */
+    /** The next bytes of a body that {@link #attached}. */
     public void offer(ByteBuf more, boolean last) {
         begun = true;
         whole = last;
--- a/src/main/java/onyxpaddle/route/ProcedureTable.java
+++ b/src/main/java/onyxpaddle/route/ProcedureTable.java
@@ -54,15 +54,15 @@
         return a.substring(0, i);
     }
 
-    /** Those that stand twice: each with the one before it that has the same pattern, on any one listener. */
-    public static Map<Procedure, Procedure> twice(List<Procedure> procedures) {
-        Map<Procedure, Procedure> twice = new java.util.LinkedHashMap<>();
+    /** Those that stand duplicates: each with the one before it that has the same pattern, on any one listener. */
+    public static Map<Procedure, Procedure> duplicates(List<Procedure> procedures) {
+        Map<Procedure, Procedure> duplicates = new java.util.LinkedHashMap<>();
         List<Procedure> before = new ArrayList<>();
         for (Procedure p : procedures) {
             before.stream().filter(o -> o.listener().equals(p.listener()) && o.pattern().equals(p.pattern())).findFirst()
-                .ifPresent(o -> twice.put(p, o));
+                .ifPresent(o -> duplicates.put(p, o));
             before.add(p);
         }
-        return twice;
+        return duplicates;
     }
 }
--- a/src/main/java/onyxpaddle/route/Route.java
+++ b/src/main/java/onyxpaddle/route/Route.java
@@ -40,7 +40,7 @@
     }
 
     /** The target as it goes on: {@code path} without query. */
-    public String rewritten(String asked) {
+    public String rewrittenPath(String asked) {
         if (rewrite == null) {
             return asked;
         }
--- a/src/main/java/onyxpaddle/route/RouteFaults.java
+++ b/src/main/java/onyxpaddle/route/RouteConflicts.java
@@ -8,12 +8,12 @@
 import java.util.Set;
 
 /** Finds routes between which nothing decides, and routes that can never win. */
-public final class RouteFaults {
+public final class RouteConflicts {
     /** {@code ambiguous}: the two tie on some request; otherwise {@code other} takes all that would be {@code route}'s. */
     public record Conflict(Route route, Route other, boolean ambiguous) {
     }
 
-    private RouteFaults() {
+    private RouteConflicts() {
     }
 
     /** The conflicts among routes of any listeners, each by the route that stands later. */
--- a/src/main/java/onyxpaddle/route/RouteTable.java
+++ b/src/main/java/onyxpaddle/route/RouteTable.java
@@ -19,7 +19,7 @@
  * </ol>
  *
  * The order in which routes are written decides nothing. Two routes that could tie are ambiguous, which
- * {@link RouteFaults} finds before a table is used. A request for which none holds goes nowhere.
+ * {@link RouteConflicts} finds before a table is used. A request for which none holds goes nowhere.
  */
 public final class RouteTable {
     private static final String ANY = "";
@@ -102,7 +102,7 @@
     }
 
     /** Why a route of this table does not hold for a request; null where it does, also if another one wins. */
-    public static String misses(Route route, String host, String path, String method, UnaryOperator<String> header) {
+    public static String mismatch(Route route, String host, String path, String method, UnaryOperator<String> header) {
         if (route.host() != null && !hostHolds(route.host(), host)) {
             return "host is not " + route.host();
         }
--- a/src/main/java/onyxpaddle/rpc/CallerConnection.java
+++ b/src/main/java/onyxpaddle/rpc/CallerConnection.java
@@ -17,7 +17,7 @@
 import onyxpaddle.node.Exchange;
 import onyxpaddle.node.Log;
 import onyxpaddle.node.SharedLimit;
-import onyxpaddle.node.Tally;
+import onyxpaddle.node.RequestCounts;
 import onyxpaddle.rpc.OwnError.Code;
 import onyxpaddle.rpc.RpcCalls.Taken;
 import onyxpaddle.rpc.RpcCounts.Dropped;
@@ -75,7 +75,7 @@
         @Override
         public boolean left(boolean unseen) {
             boolean unread = unseen || !channel.config().isAutoRead();
-            return unread ? channel.poll() == PollableChannel.Found.END : !channel.isActive();
+            return unread ? channel.poll() == PollableChannel.PollResult.END : !channel.isActive();
         }
 
         @Override
@@ -136,8 +136,8 @@
     }
 
     @Override
-    public boolean quiet() {
-        return !waits() && (closing || !decoder.midFrame() && channel.poll() != PollableChannel.Found.BYTES);
+    public boolean safeToClose() {
+        return !waits() && (closing || !decoder.midFrame() && channel.poll() != PollableChannel.PollResult.BYTES);
     }
 
     @Override
@@ -224,8 +224,8 @@
             channel.remoteAddress().getAddress().getHostAddress());
         if (taken == null) {
             refuse(msgid, method, OwnError.of(Code.NO_METHOD));
-        } else if (all.refuses() || all.crowded()) {
-            taken.target().pool().turnedAway(taken.terms(), Tally.End.BUSY);
+        } else if (all.refuses() || all.nearConnectionLimit()) {
+            taken.target().pool().countResult(taken.terms(), RequestCounts.RequestResult.BUSY);
             refuse(msgid, method, OwnError.of(Code.REFUSED));
         } else {
             receiving = new OpenCall(msgid, taken);
@@ -267,8 +267,8 @@
         frameSince = -1;
         if (call != null) {
             if (call.refusal != null) {
-                call.taken.target().pool().turnedAway(call.taken.terms(),
-                    call.refusal.code() == Code.REFUSED ? Tally.End.BUSY : Tally.End.FAILURE);
+                call.taken.target().pool().countResult(call.taken.terms(),
+                    call.refusal.code() == Code.REFUSED ? RequestCounts.RequestResult.BUSY : RequestCounts.RequestResult.FAILURE);
                 refuse(call.msgid, call.taken.head().method(), call.refusal);
             } else {
                 if (call.msgid == NOTIFICATION) {
@@ -276,7 +276,7 @@
                 } else {
                     open.put(call.msgid, call);
                 }
-                call.taken.target().pool().arrived(call.exchange, all.clock().cameSince());
+                call.taken.target().pool().arrived(call.exchange, all.clock().earliestArrival());
             }
         }
         idleSince = all.clock().now();
@@ -306,7 +306,7 @@
         // The answer goes on taking memory until the caller reads it, which it may do slowly.
         SharedLimit.Share share = call.taken.target().bytes();
         long held = body.readableBytes();
-        share.takeAnyway(held);
+        share.forceTake(held);
         write(call.msgid, body).addListener(f -> share.giveBack(held));
         idleSince = all.clock().now();
         goOn();
@@ -366,7 +366,7 @@
     }
 
     @Override
-    public void stoodStill(long span, long now) {
+    public void compensateStall(long span, long now) {
         idleSince = Math.min(now, idleSince + span);
         unreadSince = Math.min(now, unreadSince + span);
         frameSince = frameSince < 0 ? -1 : Math.min(now, frameSince + span);
@@ -383,7 +383,7 @@
         } else if (frameSince >= 0 && now - frameSince > LONGEST_FRAME + all.calls.largest() * FOR_EACH_BYTE) {
             all.counts.add(Dropped.MALFORMED, now, "caller " + channel.remoteAddress() + ": a frame did not come whole in time");
             endAfterAnswers();
-        } else if (idle() && (all.ends(idleSince, now) || now - idleSince > all.calls.longestIdle) && quiet()) {
+        } else if (idle() && (all.ends(idleSince, now) || now - idleSince > all.calls.longestIdle) && safeToClose()) {
             endAfterAnswers();
         }
     }
--- a/src/main/java/onyxpaddle/rpc/RpcCalls.java
+++ b/src/main/java/onyxpaddle/rpc/RpcCalls.java
@@ -2,7 +2,7 @@
 
 import java.util.Map;
 import java.util.function.Supplier;
-import onyxpaddle.Balancing.RequestClass;
+import onyxpaddle.BalancerApi.RequestClass;
 import onyxpaddle.node.Dispatcher;
 import onyxpaddle.node.Exchange.Terms;
 import onyxpaddle.node.SharedLimit;
@@ -49,12 +49,12 @@
         }
 
         RequestClass notice() {
-            return new RequestClass(keyed.name() + "/notice", onyxpaddle.Balancing.Effect.UNSAFE, keyed.group(), 0,
+            return new RequestClass(keyed.name() + "/notice", onyxpaddle.BalancerApi.Effect.UNSAFE, keyed.group(), 0,
                 keyed.aim(), keyed.aimStretch(), keyed.deadline(), keyed.worth(), keyed.lateWorth(), false);
         }
 
         private static RequestClass at(RequestClass c, int part) {
-            return part == 0 ? c : new RequestClass(c.name() + PART_NAMES[part], c.effect(), c.group(), c.memory(), c.aim(),
+            return part == 0 ? c : new RequestClass(c.name() + PART_NAMES[part], c.effect(), c.group(), c.keyRetention(), c.aim(),
                 c.aimStretch(), c.deadline(), c.worth() * PARTS[part], c.lateWorth(), false);
         }
     }
@@ -70,7 +70,7 @@
     private final Supplier<String> ids;
     final long longestIdle;
     final int mostOpen;
-    private long longestPatience;
+    private long maxCallerTimeout;
     private long largest;
 
     /**
@@ -88,14 +88,14 @@
         this.mostOpen = mostOpen;
         this.ids = ids;
         for (Procedure p : procedures.procedures()) {
-            longestPatience = Math.max(longestPatience, classes.get(p.requestClass()).keyed().deadline());
+            maxCallerTimeout = Math.max(maxCallerTimeout, classes.get(p.requestClass()).keyed().deadline());
             largest = Math.max(largest, pools.get(p.pool()).payload());
         }
     }
 
     /** The longest that any caller here waits, in nanoseconds. */
-    long longestPatience() {
-        return longestPatience;
+    long maxCallerTimeout() {
+        return maxCallerTimeout;
     }
 
     /** The most bytes of parameters that any procedure here takes. */
@@ -113,9 +113,9 @@
         Envelope said = envelope == null ? Envelope.NONE : envelope;
         Classes kinds = classes.get(procedure.requestClass());
         RequestClass kind = notification ? kinds.notice() : kinds.of(said.key() != null, said.worth());
-        long patience = Double.isNaN(said.expires()) ? kind.deadline()
+        long callerTimeout = Double.isNaN(said.expires()) ? kind.deadline()
             : (long) Math.min(kind.deadline(), said.expires() * MILLI);
-        Terms terms = new Terms(ids.get(), kind, patience, said.tenant() == null ? tenant : said.tenant(), 0, said.retry());
+        Terms terms = new Terms(ids.get(), kind, callerTimeout, said.tenant() == null ? tenant : said.tenant(), 0, said.retry());
         return new Taken(target, terms, new RpcHead(method, params, notification, said, procedure.mapped(method), caller));
     }
 }
--- a/src/main/java/onyxpaddle/rpc/RpcConnection.java
+++ b/src/main/java/onyxpaddle/rpc/RpcConnection.java
@@ -6,7 +6,7 @@
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInboundHandlerAdapter;
 import java.util.ArrayDeque;
-import onyxpaddle.Balancing.Outcome;
+import onyxpaddle.BalancerApi.Outcome;
 import onyxpaddle.node.Answer;
 import onyxpaddle.node.Attempt;
 import onyxpaddle.node.Body;
@@ -171,7 +171,7 @@
             }
             call.handedOver = true;
             any = true;
-            call.attempt.writing(channel.write(frame(call)).addListener(f -> written(call, f.isSuccess())));
+            call.attempt.setLastWrite(channel.write(frame(call)).addListener(f -> written(call, f.isSuccess())));
         }
         if (any) {
             channel.flush();
--- a/src/main/java/onyxpaddle/rpc/RpcFront.java
+++ b/src/main/java/onyxpaddle/rpc/RpcFront.java
@@ -33,8 +33,8 @@
     }
 
     @Override
-    public long longestPatience() {
-        return calls.longestPatience();
+    public long maxCallerTimeout() {
+        return calls.maxCallerTimeout();
     }
 
     @Override
@@ -43,9 +43,9 @@
     }
 
     @Override
-    protected CallerConnection dispensable(CallerConnection newest) {
+    protected CallerConnection evictionCandidate(CallerConnection newest) {
         // One without calls goes; what is taken is never given up for it.
-        return connections().stream().filter(o -> o != newest && o.idle() && o.quiet()).findFirst().orElse(null);
+        return connections().stream().filter(o -> o != newest && o.idle() && o.safeToClose()).findFirst().orElse(null);
     }
 
     @Override
--- a/src/main/java/onyxpaddle/rpc/RpcUpstream.java
+++ b/src/main/java/onyxpaddle/rpc/RpcUpstream.java
@@ -18,14 +18,14 @@
 import java.util.Set;
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
-import onyxpaddle.Balancing.Outcome;
-import onyxpaddle.Balancing.ServerState;
+import onyxpaddle.BalancerApi.Outcome;
+import onyxpaddle.BalancerApi.ServerState;
 import onyxpaddle.node.Attempt;
-import onyxpaddle.node.Budget.PoolShare;
+import onyxpaddle.node.ResourceBudget.PoolShare;
 import onyxpaddle.node.Clock;
 import onyxpaddle.node.Dispatcher;
-import onyxpaddle.node.Roster;
-import onyxpaddle.node.Sockets;
+import onyxpaddle.node.ServerList;
+import onyxpaddle.node.SocketBuffers;
 import onyxpaddle.node.Upstream;
 import onyxpaddle.socket.PollableChannel;
 
@@ -87,7 +87,7 @@
             .option(ChannelOption.ALLOCATOR, allocator)
             .option(ChannelOption.TCP_NODELAY, true)
             .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, terms.dialTimeout() / 1_000_000))
-            .option(ChannelOption.RECVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(Sockets.READ_SIZE))
+            .option(ChannelOption.RECVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(SocketBuffers.READ_SIZE))
             // What is handed over can't be taken back, so little is handed over ahead.
             .option(ChannelOption.WRITE_BUFFER_WATER_MARK, new WriteBufferWaterMark(8 * 1024, 16 * 1024))
             .handler(new ChannelInitializer<Channel>() {
@@ -101,13 +101,13 @@
 
     // ---- servers ----
 
-    public void apply(Roster roster) {
+    public void apply(ServerList roster) {
         if (roster.whole()) {
             Set<String> left = new HashSet<>(peers.keySet());
             roster.hosts().forEach(host -> left.remove(host.entry().server()));
             left.forEach(this::remove);
         }
-        for (Roster.Host host : roster.hosts()) {
+        for (ServerList.Host host : roster.hosts()) {
             String server = host.entry().server();
             InetSocketAddress address = host.address(PROTOCOL);
             if (host.entry().state() == ServerState.GONE || address == null) {
--- a/src/main/java/onyxpaddle/scale/ConfiguredNode.java
+++ b/src/main/java/onyxpaddle/scale/ConfiguredNode.java
@@ -43,7 +43,7 @@
 
     /** The newest version whose entries are in force. */
     ConfigurationVersion inForce() {
-        return configuration.standing().inForce();
+        return configuration.currentStatus().inForce();
     }
 
     /** When the last configuration was applied, by the machine's monotonic clock. */
--- a/src/main/java/onyxpaddle/scale/ConfiguredProcess.java
+++ b/src/main/java/onyxpaddle/scale/ConfiguredProcess.java
@@ -14,7 +14,7 @@
 import java.util.concurrent.TimeUnit;
 import onyxpaddle.distribution.ConfigurationVersion;
 import onyxpaddle.node.Addresses;
-import onyxpaddle.node.Sockets;
+import onyxpaddle.node.SocketBuffers;
 
 /** Some hundred nodes that follow control processes, in one process over a few event loops, each with a worker. */
 public final class ConfiguredProcess {
@@ -31,7 +31,7 @@
     private ConfiguredProcess() {
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(LOOPS, NioIoHandler.newFactory());
         for (int i = 0; i < LOOPS; i++) {
-            places.add(new Place(group.next(), Sockets.allocator(), Executors.newSingleThreadExecutor()));
+            places.add(new Place(group.next(), SocketBuffers.allocator(), Executors.newSingleThreadExecutor()));
         }
     }
 
--- a/src/main/java/onyxpaddle/scale/HerdingClient.java
+++ b/src/main/java/onyxpaddle/scale/HerdingClient.java
@@ -22,7 +22,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import onyxpaddle.membership.RosterJson;
-import onyxpaddle.node.Roster;
+import onyxpaddle.node.ServerList;
 
 /** The fault {@link SeededFault#HERD}: a client without jitter, that calls again at the machine's next whole second after a failed call. */
 final class HerdingClient implements ListClient {
@@ -32,12 +32,12 @@
 
     private final EventLoop loop;
     private final InetSocketAddress address;
-    private final Consumer<Roster> onList;
+    private final Consumer<ServerList> onList;
     private Channel channel;
     private long held;
     private boolean stopped;
 
-    HerdingClient(EventLoop loop, InetSocketAddress address, Consumer<Roster> onList) {
+    HerdingClient(EventLoop loop, InetSocketAddress address, Consumer<ServerList> onList) {
         this.loop = loop;
         this.address = address;
         this.onList = onList;
@@ -103,7 +103,7 @@
                 later();
                 return;
             }
-            Roster roster = RosterJson.parse(ByteBufUtil.getBytes(response.content()));
+            ServerList roster = RosterJson.parse(ByteBufUtil.getBytes(response.content()));
             held = roster.seq();
             onList.accept(roster);
             call();
--- a/src/main/java/onyxpaddle/scale/HollowNode.java
+++ b/src/main/java/onyxpaddle/scale/HollowNode.java
@@ -7,13 +7,13 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
-import onyxpaddle.Balancing;
-import onyxpaddle.Balancing.Effect;
-import onyxpaddle.Balancing.KeyGroup;
-import onyxpaddle.Balancing.Limits;
-import onyxpaddle.Balancing.Rules;
-import onyxpaddle.Balancing.Settings;
-import onyxpaddle.Balancing.Weights;
+import onyxpaddle.BalancerApi;
+import onyxpaddle.BalancerApi.Effect;
+import onyxpaddle.BalancerApi.KeyGroup;
+import onyxpaddle.BalancerApi.Limits;
+import onyxpaddle.BalancerApi.Rules;
+import onyxpaddle.BalancerApi.Settings;
+import onyxpaddle.BalancerApi.Weights;
 import onyxpaddle.config.Faults;
 import onyxpaddle.config.MachineLimits;
 import onyxpaddle.config.NodeConfig;
@@ -85,7 +85,7 @@
     }
 
     private static Settings settings(NodeConfig.Pool pool, boolean asked, int siblings, int self) {
-        Balancing.RequestClass work = new Balancing.RequestClass("work", Effect.SAFE, KeyGroup.ALL, 0, 500 * MS, 0, 2_000 * MS, 1, 0, false);
+        BalancerApi.RequestClass work = new BalancerApi.RequestClass("work", Effect.SAFE, KeyGroup.ALL, 0, 500 * MS, 0, 2_000 * MS, 1, 0, false);
         return new Settings("", List.of(), asked ? 0 : 1, self, siblings, List.of(work), List.of(), 1, false, asked, Weights.NOMINAL, List.of(),
             0, 0, new Limits(pool.attempts(), false, true, false, true, 1_000 * MS, pool.connectTimeout()),
             new Rules(pool.startCapacity(), pool.cold(), 3, 3_000 * MS, ASKED_DRAIN_GRACE, 8 * MS, asked ? NodePlan.askEveryNanos() : 0));
--- a/src/main/java/onyxpaddle/scale/HollowProcess.java
+++ b/src/main/java/onyxpaddle/scale/HollowProcess.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
-import onyxpaddle.node.Sockets;
+import onyxpaddle.node.SocketBuffers;
 
 /** Some hundred hollow nodes in one process, over a few event loops; its argument is the fault put in. */
 public final class HollowProcess {
@@ -30,7 +30,7 @@
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(LOOPS, NioIoHandler.newFactory());
         Place[] all = new Place[LOOPS];
         for (int i = 0; i < LOOPS; i++) {
-            all[i] = new Place(group.next(), Sockets.allocator());
+            all[i] = new Place(group.next(), SocketBuffers.allocator());
         }
         places = List.of(all);
     }
--- a/src/main/java/onyxpaddle/scale/HollowWatch.java
+++ b/src/main/java/onyxpaddle/scale/HollowWatch.java
@@ -4,15 +4,15 @@
 import io.netty.channel.EventLoop;
 import java.net.InetSocketAddress;
 import java.util.List;
-import onyxpaddle.Balancing.ListKind;
-import onyxpaddle.Balancing.Settings;
+import onyxpaddle.BalancerApi.ListKind;
+import onyxpaddle.BalancerApi.Settings;
 import onyxpaddle.RatioBalancer;
 import onyxpaddle.membership.Discovery;
 import onyxpaddle.node.Attempt;
 import onyxpaddle.node.Clock;
 import onyxpaddle.node.Dispatcher;
-import onyxpaddle.node.Roster;
-import onyxpaddle.node.Tally;
+import onyxpaddle.node.ServerList;
+import onyxpaddle.node.RequestCounts;
 import onyxpaddle.node.Upstream;
 
 /**
@@ -43,13 +43,13 @@
     HollowWatch(int service, EventLoop loop, ByteBufAllocator allocator, InetSocketAddress door, boolean asked, Settings settings, long seed,
             SeededFault fault) {
         this.service = service;
-        dispatcher = new Dispatcher(new Clock(), loop, new RatioBalancer(settings, seed), settings.limits(), new Tally(List.of()));
+        dispatcher = new Dispatcher(new Clock(), loop, new RatioBalancer(settings, seed), settings.limits(), new RequestCounts(List.of()));
         client = fault == SeededFault.HERD ? new HerdingClient(loop, door, this::take)
             : new ProductionClient(new Discovery(loop, allocator, door, asked, 0, false, this::take,
                 () -> dispatcher.membership(ListKind.REFUSED, List.of())), asked);
         dispatcher.connect(NO_SERVERS, client::subscribe);
         if (asked) {
-            dispatcher.membership(ListKind.REMEMBERED, List.of());
+            dispatcher.membership(ListKind.CACHED, List.of());
         }
     }
 
@@ -61,7 +61,7 @@
         client.stop();
     }
 
-    private void take(Roster roster) {
+    private void take(ServerList roster) {
         dispatcher.membership(roster.whole() ? ListKind.ALL : ListKind.CHANGES, roster.entries());
         if (roster.seq() != version) {
             changedAt = System.nanoTime();
--- a/src/main/java/onyxpaddle/serve/Announcing.java
+++ b/src/main/java/onyxpaddle/serve/BgpAnnouncer.java
@@ -36,13 +36,13 @@
 import onyxpaddle.drain.NodeState.Phase;
 import onyxpaddle.node.Addresses;
 import onyxpaddle.node.Log;
-import onyxpaddle.node.Tally;
+import onyxpaddle.node.RequestCounts;
 
 /**
  * Ties service addresses to what the node sees of its pools: looks some times a second, and tells the speaker how each address
  * stands. Whether the node drains is {@link NodeState}'s word, here as at the door.
  */
-final class Announcing {
+final class BgpAnnouncer {
     private static final long LOOK_MS = 250;
     /** An emptied node is one that has had nothing out for so long: routers still send while they learn of the drain. */
     private static final long QUIET = 1_000_000_000L;
@@ -52,20 +52,20 @@
     /** A pool's health over the dispatchers that it has had: counts only grow, whatever a reload replaces. */
     private static final class Watched {
         private final ServiceHealth health;
-        private PoolUnit unit;
-        private final long[] before = new long[Tally.End.values().length];
+        private RunningPool unit;
+        private final long[] before = new long[RequestCounts.RequestResult.values().length];
 
         private Watched(ServiceHealth health) {
             this.health = health;
         }
 
-        private long count(Tally.End how) {
+        private long count(RequestCounts.RequestResult how) {
             return before[how.ordinal()] + unit.dispatcher.ended(how);
         }
 
-        private void is(PoolUnit now) {
+        private void is(RunningPool now) {
             if (unit != null && unit != now) {
-                for (Tally.End how : Tally.End.values()) {
+                for (RequestCounts.RequestResult how : RequestCounts.RequestResult.values()) {
                     before[how.ordinal()] += unit.dispatcher.ended(how);
                 }
             }
@@ -74,8 +74,8 @@
     }
 
     private final Lifecycle life;
-    private final Supplier<Map<String, PoolUnit>> pools;
-    private final Supplier<List<PoolUnit>> leaving;
+    private final Supplier<Map<String, RunningPool>> pools;
+    private final Supplier<List<RunningPool>> leaving;
     private final Speaker speaker;
     private final Map<String, Map<String, Watched>> watched = new HashMap<>();
     private final Map<String, String> told = new HashMap<>();
@@ -85,7 +85,7 @@
     private long lookedAt;
     private long busyAt;
 
-    Announcing(Lifecycle life, Supplier<Map<String, PoolUnit>> pools, Supplier<List<PoolUnit>> leaving, long seed) {
+    BgpAnnouncer(Lifecycle life, Supplier<Map<String, RunningPool>> pools, Supplier<List<RunningPool>> leaving, long seed) {
         this.life = life;
         this.pools = pools;
         this.leaving = leaving;
@@ -176,7 +176,7 @@
     }
 
     private boolean busy() {
-        for (PoolUnit unit : pools.get().values()) {
+        for (RunningPool unit : pools.get().values()) {
             if (unit.dispatcher.unanswered() > 0) {
                 return true;
             }
@@ -188,16 +188,16 @@
         Map<String, Watched> mine = watched.computeIfAbsent(service.name(), n -> new LinkedHashMap<>());
         List<Verdict> verdicts = new ArrayList<>();
         for (String name : service.pools()) {
-            PoolUnit unit = pools.get().get(name);
+            RunningPool unit = pools.get().get(name);
             if (unit == null) {
                 continue;
             }
             Watched pool = mine.computeIfAbsent(name, n -> new Watched(new ServiceHealth(terms(service.degradedBelow(),
                 service.downBelow(), service.dwell()), now)));
             pool.is(unit);
-            onyxpaddle.Balancing.Fleet fleet = unit.dispatcher.fleet();
+            onyxpaddle.BalancerApi.FleetSummary fleet = unit.dispatcher.fleet();
             Verdict of = pool.health.observe(new Seen(unit.ready(), fleet.listed(), fleet.listed() - fleet.avoided(),
-                pool.count(Tally.End.SUCCESS), pool.count(Tally.End.BUSY), pool.count(Tally.End.FAILURE), lag), now);
+                pool.count(RequestCounts.RequestResult.SUCCESS), pool.count(RequestCounts.RequestResult.BUSY), pool.count(RequestCounts.RequestResult.FAILURE), lag), now);
             verdicts.add(new Verdict(of.status(), "pool " + name + ": " + of.why(), of.since()));
         }
         return ServiceHealth.combined(verdicts, service.any());
--- a/src/main/java/onyxpaddle/serve/ConfigurationStanding.java
+++ b/src/main/java/onyxpaddle/serve/ConfigurationStatus.java
@@ -11,23 +11,23 @@
  * @param refused the version that was refused last, null where one as new is in force
  * @param fault why, at most {@link #LONGEST_FAULT} characters
  */
-public record ConfigurationStanding(ConfigurationVersion inForce, ConfigurationVersion refused, String fault) {
+public record ConfigurationStatus(ConfigurationVersion inForce, ConfigurationVersion refused, String fault) {
     /** The most characters of a fault that are reported. */
     public static final int LONGEST_FAULT = 300;
-    static final ConfigurationStanding NONE = inForce(ConfigurationVersion.NONE);
+    static final ConfigurationStatus NONE = inForce(ConfigurationVersion.NONE);
 
-    static ConfigurationStanding inForce(ConfigurationVersion version) {
-        return new ConfigurationStanding(version, null, "");
+    static ConfigurationStatus inForce(ConfigurationVersion version) {
+        return new ConfigurationStatus(version, null, "");
     }
 
     /** After a version came into force; one that was refused and is newer stays reported. */
-    ConfigurationStanding nowInForce(ConfigurationVersion version) {
-        return refused != null && refused.isAfter(version) ? new ConfigurationStanding(version, refused, fault) : inForce(version);
+    ConfigurationStatus nowInForce(ConfigurationVersion version) {
+        return refused != null && refused.isAfter(version) ? new ConfigurationStatus(version, refused, fault) : inForce(version);
     }
 
     /** After a version was refused for this reason, of any length. */
-    ConfigurationStanding nowRefused(ConfigurationVersion version, String why) {
-        return new ConfigurationStanding(inForce, version, why.substring(0, Math.min(LONGEST_FAULT, why.length())));
+    ConfigurationStatus nowRefused(ConfigurationVersion version, String why) {
+        return new ConfigurationStatus(inForce, version, why.substring(0, Math.min(LONGEST_FAULT, why.length())));
     }
 
     /** As parameters of a call, each with {@code &} before it. */
--- a/src/main/java/onyxpaddle/serve/DistributedConfiguration.java
+++ b/src/main/java/onyxpaddle/serve/DistributedConfiguration.java
@@ -60,10 +60,10 @@
     private final EventLoop loop;
     private final Executor worker;
     private final ConfigurationTarget target;
-    private final KeptConfiguration keeping;
+    private final DistributedConfigurationCache keeping;
     private final ConfigurationWatch watch;
     private final CompletableFuture<Void> begun = new CompletableFuture<>();
-    private volatile ConfigurationStanding standing = ConfigurationStanding.NONE;
+    private volatile ConfigurationStatus currentStatus = ConfigurationStatus.NONE;
 
     // Of the loop.
     private ConfigurationTable told = ConfigurationTable.EMPTY;
@@ -71,7 +71,7 @@
 
     // Of the worker.
     private Value base;
-    private KeptConfiguration.Kept kept;
+    private DistributedConfigurationCache.Kept kept;
     /** What is to be brought into force, newer than what is being applied; null for nothing. */
     private ConfigurationTable wanted;
     private boolean applying;
@@ -89,7 +89,7 @@
         this.loop = control.loop();
         this.worker = worker;
         this.target = target;
-        keeping = origin.state() == null ? null : new KeptConfiguration(origin.state(), interest);
+        keeping = origin.state() == null ? null : new DistributedConfigurationCache(origin.state(), interest);
         List<String> names = control.replicas().stream().map(at -> at.getAddress().getHostAddress() + ":" + at.getPort()).toList();
         ReplicaSelector selector = new ReplicaSelector(interest.node(), names, ThreadLocalRandom.current());
         watch = new ConfigurationWatch(loop, control.allocator(), control.replicas(), selector,
@@ -98,7 +98,7 @@
 
     /**
      * Begins. What comes is done once a first configuration is in force: of the control processes if one answers within 3 s, else the
-     * one that was kept, else the node's own file alone. It fails with a {@link RefusedException} where none of these can be.
+     * one that was kept, else the node's own file alone. It fails with a {@link ConfigurationRefusedException} where none of these can be.
      */
     public CompletableFuture<Void> start() {
         work(() -> {
@@ -119,8 +119,8 @@
     }
 
     /** How the node stands; from any thread. */
-    public ConfigurationStanding standing() {
-        return standing;
+    public ConfigurationStatus currentStatus() {
+        return currentStatus;
     }
 
     /** Takes another base, such as after SIGHUP, and lays the same entries over it; from any thread. */
@@ -159,7 +159,7 @@
 
         @Override
         public String report() {
-            return standing.parameters();
+            return currentStatus.parameters();
         }
     }
 
@@ -206,7 +206,7 @@
         List<Entry> entries = table.entries(interest);
         if (entries.equals(entriesInForce)) {
             // Nothing that concerns this node has changed.
-            standing = ConfigurationStanding.inForce(table.version());
+            currentStatus = ConfigurationStatus.inForce(table.version());
         } else if (!entries.equals(entriesRefused)) {
             bringIntoForce(table, entries);
         }
@@ -257,7 +257,7 @@
 
     private void inForce(ConfigurationTable table) {
         Log.line("configuration: " + told(table) + " is in force");
-        standing = standing.nowInForce(table.version());
+        currentStatus = currentStatus.nowInForce(table.version());
         if (keeping != null && !table.version().equals(ConfigurationVersion.NONE)) {
             keeping.write(table, System.currentTimeMillis());
         }
@@ -267,7 +267,7 @@
 
     private void refused(ConfigurationTable table, List<Entry> entries, List<String> why, boolean faulty) {
         entriesRefused = entries;
-        standing = standing.nowRefused(table.version(), why.get(0));
+        currentStatus = currentStatus.nowRefused(table.version(), why.get(0));
         if (!begun.isDone()) {
             fallBack(why, faulty);
         }
@@ -286,7 +286,7 @@
             wanted = ConfigurationTable.EMPTY;
             Log.line("configuration: starting with this node's file alone");
         } else {
-            begun.completeExceptionally(new RefusedException(why, faulty));
+            begun.completeExceptionally(new ConfigurationRefusedException(why, faulty));
         }
     }
 }
--- a/src/main/java/onyxpaddle/serve/KeptConfiguration.java
+++ b/src/main/java/onyxpaddle/serve/DistributedConfigurationCache.java
@@ -16,7 +16,7 @@
  * The entries that were in force last, on disk, for a start without any control process. Written as a time (8 bytes, milliseconds since
  * 1970, for people alone) and an update. Reading and writing wait for the disk; one thread at a time.
  */
-final class KeptConfiguration {
+final class DistributedConfigurationCache {
     private final SnapshotFile file;
     private final Interest interest;
     /** A write failed and none has gone well since; said once. */
@@ -27,7 +27,7 @@
     }
 
     /** In a folder of several nodes each has files of its own; so has a node beside another service, to which other entries belong. */
-    KeptConfiguration(Path folder, Interest interest) {
+    DistributedConfigurationCache(Path folder, Interest interest) {
         this.interest = interest;
         file = new SnapshotFile(folder, "configuration-" + interest.node() + "--" + interest.service());
     }
--- a/src/main/java/onyxpaddle/serve/DistributedNode.java
+++ b/src/main/java/onyxpaddle/serve/DistributedNode.java
@@ -22,7 +22,7 @@
 import onyxpaddle.distribution.Interest;
 import onyxpaddle.node.Addresses;
 import onyxpaddle.node.Log;
-import onyxpaddle.node.Sockets;
+import onyxpaddle.node.SocketBuffers;
 
 /**
  * A sidecar whose file is laid under the entries of control processes. Calls and checks have two threads of their own, so that the
@@ -46,7 +46,7 @@
      *
      * @param admin in place of the file's, null for that
      * @param control where control processes listen, at least one
-     * @param service beside which the node runs; empty for none
+     * @param service beside which the node install; empty for none
      * @param state where entries in force are kept; null to keep none
      */
     public static void main(Path file, HostPort admin, List<HostPort> control, String service, Path state) {
@@ -63,10 +63,10 @@
             control(control), worker(), target);
         try {
             configuration.start().get();
-            Hangup.runs(() -> target.reload(file, configuration));
+            SighupHandler.install(() -> target.reload(file, configuration));
             Runtime.getRuntime().addShutdownHook(new Thread(target.node::drain, "drain"));
         } catch (ExecutionException e) {
-            boolean faulty = e.getCause() instanceof RefusedException refused && refused.faulty();
+            boolean faulty = e.getCause() instanceof ConfigurationRefusedException refused && refused.faulty();
             System.err.println((faulty ? "" : "lupinmount: cannot start: ") + e.getCause().getMessage());
             System.exit(faulty ? EXIT_CONFIG : EXIT_CANNOT_RUN);
         } catch (ReflectiveOperationException | InterruptedException e) {
@@ -94,7 +94,7 @@
         List<InetSocketAddress> replicas = control.stream().distinct().map(at -> Addresses.of(at.host(), at.port())).toList();
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, new DefaultThreadFactory("configuration", true),
             NioIoHandler.newFactory());
-        return new DistributedConfiguration.Control(group.next(), Sockets.allocator(), replicas);
+        return new DistributedConfiguration.Control(group.next(), SocketBuffers.allocator(), replicas);
     }
 
     private static ExecutorService worker() {
--- a/src/main/java/onyxpaddle/serve/Lifecycle.java
+++ b/src/main/java/onyxpaddle/serve/Lifecycle.java
@@ -14,10 +14,10 @@
 import java.util.concurrent.RejectedExecutionException;
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Collectors;
-import onyxpaddle.Balancing.Memory;
-import onyxpaddle.admin.AdminCalls;
-import onyxpaddle.admin.AdminDoor;
-import onyxpaddle.admin.Exposition;
+import onyxpaddle.BalancerApi.BalancerSnapshot;
+import onyxpaddle.admin.AdminOperations;
+import onyxpaddle.admin.AdminServer;
+import onyxpaddle.admin.MetricsExposition;
 import onyxpaddle.admin.ServerReport;
 import onyxpaddle.admin.SiteReport;
 import onyxpaddle.drain.NodeState;
@@ -25,8 +25,8 @@
 import onyxpaddle.handover.HandoverSocket;
 import onyxpaddle.node.Dispatcher;
 import onyxpaddle.node.Log;
-import onyxpaddle.node.Sockets;
-import onyxpaddle.node.Tally;
+import onyxpaddle.node.SocketBuffers;
+import onyxpaddle.node.RequestCounts;
 
 /**
  * A process from its start to its end, whatever it serves: the event loop, the operators' door, the node's state, the
@@ -58,13 +58,13 @@
         Map<String, Dispatcher> pools();
 
         /** Pools of an earlier configuration that still have requests out. */
-        List<Dispatcher> leaving();
+        List<Dispatcher> retiredPools();
 
-        /** What is announced by BGP, as JSON; null where nothing is. */
-        String announced();
+        /** What is bgpReport by BGP, as JSON; null where nothing is. */
+        String bgpReport();
 
         /** What the process has counted since its start. */
-        Tally tally();
+        RequestCounts tally();
 
         /**
          * Answers what is taken, and calls {@code done} when nothing is left.
@@ -87,20 +87,20 @@
      * @param folder where processes of the node meet; null where none takes another's place
      * @param longestEnd how long a planned end may take, in seconds
      */
-    record Terms(String name, InetSocketAddress admin, String folder, long longestEnd) {
+    record Options(String name, InetSocketAddress admin, String folder, long longestEnd) {
     }
 
     final EventLoop loop;
     final LoopClock clock = new LoopClock();
-    final ByteBufAllocator allocator = Sockets.allocator();
+    final ByteBufAllocator allocator = SocketBuffers.allocator();
     /** Of the node: what operators drain. */
     final NodeState state = new NodeState();
-    private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, clock.watching(NioIoHandler.newFactory()));
+    private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, clock.instrument(NioIoHandler.newFactory()));
     private final CompletableFuture<Void> serving = new CompletableFuture<>();
     private final CountDownLatch ended = new CountDownLatch(1);
     private final Work work;
-    private Terms terms = new Terms("", null, null, 0);
-    private AdminDoor door;
+    private Options terms = new Options("", null, null, 0);
+    private AdminServer door;
     private HandoverSocket handover;
     private long reloads;
     private long failedReloads;
@@ -113,7 +113,7 @@
     // ---- start ----
 
     /** Returns once it listens; fails, with nothing left behind, where it can't. */
-    void start(Terms told) throws IOException {
+    void start(Options told) throws IOException {
         terms = told;
         try {
             loop.submit(this::build).sync();
@@ -133,7 +133,7 @@
     private void build() {
         work.build();
         if (terms.admin() != null) {
-            door = new AdminDoor(loop, allocator, new Operations());
+            door = new AdminServer(loop, allocator, new Operations());
             door.listen(terms.admin()).addListener(f -> {
                 if (!f.isSuccess()) {
                     serving.completeExceptionally(new IOException("cannot listen on " + terms.admin() + " (admin): "
@@ -153,14 +153,14 @@
      * Listens once it is known whether another process of this node serves. Beside one that does, not before this one is
      * ready: what the kernel gave it until then would wait.
      */
-    private void follow(boolean present, Map<String, Memory> known) {
+    private void follow(boolean present, Map<String, BalancerSnapshot> known) {
         if (known != null) {
             int servers = 0;
             for (Map.Entry<String, Dispatcher> pool : work.pools().entrySet()) {
-                Memory memory = known.get(pool.getKey());
-                if (memory != null) {
-                    pool.getValue().remember(memory);
-                    servers += memory.servers().size();
+                BalancerSnapshot snapshot = known.get(pool.getKey());
+                if (snapshot != null) {
+                    pool.getValue().restore(snapshot);
+                    servers += snapshot.servers().size();
                 }
             }
             Log.line("handover: goes on from what is known of " + servers + " servers");
@@ -188,7 +188,7 @@
             }
             if (handover != null) {
                 handover.listen(() -> work.pools().entrySet().stream()
-                    .collect(Collectors.toMap(Map.Entry::getKey, pool -> pool.getValue().memory())));
+                    .collect(Collectors.toMap(Map.Entry::getKey, pool -> pool.getValue().snapshot())));
             }
             serving.complete(null);
         });
@@ -220,15 +220,15 @@
 
     // ---- what operators ask for ----
 
-    private final class Operations implements AdminCalls {
+    private final class Operations implements AdminOperations {
         @Override
         public boolean ready() {
-            return listens() && state.wantsWork() && work.ready();
+            return listens() && state.acceptsWork() && work.ready();
         }
 
         @Override
         public String figures() {
-            return Exposition.of(work.tally(), work.pools().values(), work.leaving(), reloads, failedReloads);
+            return MetricsExposition.of(work.tally(), work.pools().values(), work.retiredPools(), reloads, failedReloads);
         }
 
         @Override
@@ -238,7 +238,7 @@
 
         @Override
         public String bgp() {
-            return work.announced();
+            return work.bgpReport();
         }
 
         @Override
@@ -250,7 +250,7 @@
         public boolean site(String name, boolean hold) {
             boolean done = false;
             for (Dispatcher pool : work.pools().values()) {
-                done |= pool.operate(name, hold);
+                done |= pool.setSiteHold(name, hold);
             }
             return done;
         }
--- a/src/main/java/onyxpaddle/serve/Upstreams.java
+++ b/src/main/java/onyxpaddle/serve/MixedProtocolUpstream.java
@@ -1,12 +1,12 @@
 package onyxpaddle.serve;
 
 import java.util.function.Supplier;
-import onyxpaddle.Balancing.Outcome;
+import onyxpaddle.BalancerApi.Outcome;
 import onyxpaddle.http.HttpUpstream;
 import onyxpaddle.node.Attempt;
 import onyxpaddle.node.Dispatcher;
 import onyxpaddle.node.Log;
-import onyxpaddle.node.Roster;
+import onyxpaddle.node.ServerList;
 import onyxpaddle.node.Upstream;
 import onyxpaddle.rpc.RpcHead;
 import onyxpaddle.rpc.RpcUpstream;
@@ -15,7 +15,7 @@
  * A pool's servers over both protocols. A request goes by its caller's own where the server speaks it, else by the other
  * if it is mapped. What decides sees one server, with one count of what is in flight, whichever way its requests go.
  */
-final class Upstreams implements Upstream {
+final class MixedProtocolUpstream implements Upstream {
     private final Dispatcher dispatcher;
     private final HttpUpstream http;
     private final Supplier<RpcUpstream> start;
@@ -24,13 +24,13 @@
     private boolean told;
 
     /** {@code rpc}: starts what calls servers by MessagePack-RPC, which most pools have no need of. */
-    Upstreams(Dispatcher dispatcher, HttpUpstream http, Supplier<RpcUpstream> rpc) {
+    MixedProtocolUpstream(Dispatcher dispatcher, HttpUpstream http, Supplier<RpcUpstream> rpc) {
         this.dispatcher = dispatcher;
         this.http = http;
         this.start = rpc;
     }
 
-    void apply(Roster roster) {
+    void apply(ServerList roster) {
         http.apply(roster);
         if (rpc == null && roster.hosts().stream().anyMatch(h -> h.address(RpcUpstream.PROTOCOL) != null)) {
             rpc = start.get();
