--- a/src/main/java/onyxpaddle/serve/Node.java
+++ b/src/main/java/onyxpaddle/serve/Node.java
@@ -6,21 +6,21 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
-import onyxpaddle.Balancing.ListKind;
+import onyxpaddle.BalancerApi.ListKind;
 import onyxpaddle.RatioBalancer;
 import onyxpaddle.front.ListeningFront.Surroundings;
 import onyxpaddle.http.HttpFront;
 import onyxpaddle.http.HttpUpstream;
-import onyxpaddle.http.PlatformAnswers;
-import onyxpaddle.http.PlatformRequests;
+import onyxpaddle.http.PlatformUpstreamDialect;
+import onyxpaddle.http.PlatformRequestDialect;
 import onyxpaddle.membership.Discovery;
-import onyxpaddle.node.Budget;
-import onyxpaddle.node.Budget.PoolShare;
+import onyxpaddle.node.ResourceBudget;
+import onyxpaddle.node.ResourceBudget.PoolShare;
 import onyxpaddle.node.Clock;
 import onyxpaddle.node.Dispatcher;
 import onyxpaddle.node.Log;
-import onyxpaddle.node.Roster;
-import onyxpaddle.node.Tally;
+import onyxpaddle.node.ServerList;
+import onyxpaddle.node.RequestCounts;
 
 /** The platform's node: one listener, one pool whose servers discovery tells. */
 public final class Node implements Lifecycle.Work {
@@ -47,7 +47,7 @@
     private final Lifecycle life = new Lifecycle(this);
     private final Clock clock = life.clock;
     private final long startedAt = clock.now();
-    private final Tally tally = new Tally(List.of());
+    private final RequestCounts tally = new RequestCounts(List.of());
     private Dispatcher dispatcher;
     private HttpUpstream servers;
     private Discovery discovery;
@@ -67,7 +67,7 @@
     public static void main() {
         try {
             Node node = new Node(System.getenv("LUPINMOUNT_SITES"));
-            Hangup.runs(() -> node.reload(System.getenv()));
+            SighupHandler.install(() -> node.reload(System.getenv()));
             PlatformConfig config = PlatformConfig.load(System.getenv());
             Runtime.getRuntime().addShutdownHook(new Thread(node::drain, "drain"));
             node.run(config, System.getenv("TMPDIR"));
@@ -98,28 +98,28 @@
 
     private void run(PlatformConfig first, String folder) throws IOException {
         config = first;
-        life.start(new Lifecycle.Terms(first.name(), first.admin(), folder, LONGEST_DRAIN_S));
+        life.start(new Lifecycle.Options(first.name(), first.admin(), folder, LONGEST_DRAIN_S));
     }
 
     @Override
     public void build() {
         EventLoop loop = life.loop;
-        Budget budget = new Budget(config.sockets(), Runtime.getRuntime().maxMemory());
+        ResourceBudget budget = new ResourceBudget(config.sockets(), Runtime.getRuntime().maxMemory());
         tally.know(PoolSettings.classNames(config.settings()));
         dispatcher = new Dispatcher(clock, loop, new RatioBalancer(config.settings(), config.seed()), config.settings().limits(),
             tally);
         PoolShare share = budget.pool();
-        servers = new HttpUpstream(loop, life.allocator, clock, share, dispatcher, new PlatformAnswers(),
+        servers = new HttpUpstream(loop, life.allocator, clock, share, dispatcher, new PlatformUpstreamDialect(),
             Math.min(LONGEST_IDLE, (long) (IDLE_SHARE * config.keepalive())), config.settings().limits().connectTimeout(), MOST_IDLE);
         if (sites != null && !sites.isEmpty()) {
             // Off on the platform, where none of it is loaded.
-            dispatcher.guard(SitesGuard.of(sites, config.settings(), config.seed()));
+            dispatcher.guard(SiteGates.of(sites, config.settings(), config.seed()));
         }
         discovery = discovery();
         dispatcher.connect(servers, () -> discovery.subscribe());
         clients = new HttpFront(new Surroundings(loop, life.allocator, clock, budget, life.state),
-            new PlatformRequests(config.settings().classes(), dispatcher, share.bytes()), this::ready);
-        apply(config.known(), ListKind.REMEMBERED);
+            new PlatformRequestDialect(config.settings().classes(), dispatcher, share.bytes()), this::ready);
+        apply(config.known(), ListKind.CACHED);
         discovery.start();
     }
 
@@ -145,17 +145,17 @@
     }
 
     @Override
-    public List<Dispatcher> leaving() {
+    public List<Dispatcher> retiredPools() {
         return List.of();
     }
 
     @Override
-    public String announced() {
+    public String bgpReport() {
         return null;
     }
 
     @Override
-    public Tally tally() {
+    public RequestCounts tally() {
         return tally;
     }
 
@@ -194,7 +194,7 @@
         discovery.startAnew();
     }
 
-    private void apply(Roster roster, ListKind kind) {
+    private void apply(ServerList roster, ListKind kind) {
         anyServer |= !roster.hosts().isEmpty();
         servers.apply(roster);
         dispatcher.membership(kind, roster.entries());
@@ -220,7 +220,7 @@
 
     @Override
     public void end(long heard, long late, boolean replaced, Runnable done) {
-        life.state.end(heard, replaced, Math.min(LONGEST_WAITED_FOR, clients.longestPatience()), late);
+        life.state.end(heard, replaced, Math.min(LONGEST_WAITED_FOR, clients.maxCallerTimeout()), late);
         clients.end(done);
     }
 
--- a/src/main/java/onyxpaddle/serve/PlatformConfig.java
+++ b/src/main/java/onyxpaddle/serve/PlatformConfig.java
@@ -9,15 +9,15 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import onyxpaddle.Balancing.Settings;
+import onyxpaddle.BalancerApi.Settings;
 import onyxpaddle.FlatSettings;
 import onyxpaddle.membership.RosterJson;
 import onyxpaddle.node.Addresses;
-import onyxpaddle.node.Roster;
+import onyxpaddle.node.ServerList;
 
 /** What the node is told at its start: the environment and the file that {@code GW_CONFIG} names. {@code admin}: null for no door. */
 record PlatformConfig(String name, InetSocketAddress listen, InetSocketAddress admin, InetSocketAddress discovery, long seed, int sockets,
-        Roster known, Settings settings, long keepalive) {
+        ServerList known, Settings settings, long keepalive) {
     private static final long USUAL_KEEPALIVE = 5_000_000_000L;
 
     /** A setting that is missing or makes no sense; the message is one line and names it. */
@@ -53,7 +53,7 @@
     /** The environment's name and addresses go before the file's, which hold the same. */
     static PlatformConfig parse(byte[] json, Map<String, String> environment) throws InvalidConfigException {
         Map<String, String> flat = new HashMap<>();
-        Roster known = new Roster(0, true, List.of());
+        ServerList known = new ServerList(0, true, List.of());
         try (JsonParser p = RosterJson.JSON.createParser(json)) {
             if (p.nextToken() != JsonToken.START_OBJECT) {
                 throw new InvalidConfigException("GW_CONFIG: not a JSON object");
--- a/src/main/java/onyxpaddle/serve/PoolSettings.java
+++ b/src/main/java/onyxpaddle/serve/PoolSettings.java
@@ -5,24 +5,24 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import onyxpaddle.Balancing;
-import onyxpaddle.Balancing.Effect;
-import onyxpaddle.Balancing.KeyGroup;
-import onyxpaddle.Balancing.Limits;
-import onyxpaddle.Balancing.Rules;
-import onyxpaddle.Balancing.ServerEntry;
-import onyxpaddle.Balancing.ServerState;
-import onyxpaddle.Balancing.Settings;
-import onyxpaddle.Balancing.Tenant;
-import onyxpaddle.Balancing.Weights;
+import onyxpaddle.BalancerApi;
+import onyxpaddle.BalancerApi.Effect;
+import onyxpaddle.BalancerApi.KeyGroup;
+import onyxpaddle.BalancerApi.Limits;
+import onyxpaddle.BalancerApi.Rules;
+import onyxpaddle.BalancerApi.ServerEntry;
+import onyxpaddle.BalancerApi.ServerState;
+import onyxpaddle.BalancerApi.Settings;
+import onyxpaddle.BalancerApi.Tenant;
+import onyxpaddle.BalancerApi.Weights;
 import onyxpaddle.config.HostPort;
 import onyxpaddle.config.NodeConfig;
 import onyxpaddle.config.NodeConfig.Pool;
 import onyxpaddle.config.NodeConfig.RequestClass;
 import onyxpaddle.config.NodeConfig.Server;
-import onyxpaddle.http.PlainRequests.Classes;
+import onyxpaddle.http.PlainRequestDialect.Classes;
 import onyxpaddle.node.Addresses;
-import onyxpaddle.node.Roster;
+import onyxpaddle.node.ServerList;
 import onyxpaddle.rpc.RpcCalls;
 import onyxpaddle.rpc.RpcUpstream;
 
@@ -42,7 +42,7 @@
     }
 
     static Settings of(Pool pool, NodeConfig config) {
-        List<Balancing.RequestClass> classes = new ArrayList<>();
+        List<BalancerApi.RequestClass> classes = new ArrayList<>();
         for (RequestClass c : config.classesOf(pool.name())) {
             Classes both = classes(c);
             if (config.called(pool.name())) {
@@ -68,12 +68,12 @@
             case KEYED -> c.retry() ? Effect.KEYED : Effect.UNSAFE;
             case UNSAFE -> Effect.UNSAFE;
         };
-        Balancing.RequestClass keyed = of(c, c.name(), effect);
+        BalancerApi.RequestClass keyed = of(c, c.name(), effect);
         return new Classes(keyed, effect == Effect.KEYED ? of(c, c.name() + UNKEYED, Effect.UNSAFE) : keyed);
     }
 
-    private static Balancing.RequestClass of(RequestClass c, String name, Effect effect) {
-        return new Balancing.RequestClass(name, effect, KeyGroup.ALL, effect == Effect.KEYED ? c.memory() : 0, c.aim(), 0,
+    private static BalancerApi.RequestClass of(RequestClass c, String name, Effect effect) {
+        return new BalancerApi.RequestClass(name, effect, KeyGroup.ALL, effect == Effect.KEYED ? c.memory() : 0, c.aim(), 0,
             c.deadline(), c.worth(), c.lateWorth(), false);
     }
 
@@ -96,18 +96,18 @@
     }
 
     static List<String> classNames(Settings settings) {
-        return settings.classes().stream().map(Balancing.RequestClass::name).toList();
+        return settings.classes().stream().map(BalancerApi.RequestClass::name).toList();
     }
 
-    static Roster roster(List<Server> servers) {
-        List<Roster.Host> hosts = new ArrayList<>();
+    static ServerList roster(List<Server> servers) {
+        List<ServerList.Host> hosts = new ArrayList<>();
         for (Server server : servers) {
             ServerState state = server.draining() ? ServerState.DRAINING : ServerState.READY;
-            hosts.add(new Roster.Host(new ServerEntry(server.id(), server.zone(), 0, state, server.weight(), 0),
+            hosts.add(new ServerList.Host(new ServerEntry(server.id(), server.zone(), 0, state, server.weight(), 0),
                 address(server.address()), server.rpc() == null ? Map.of()
                     : Map.of(RpcUpstream.PROTOCOL, address(server.rpc()))));
         }
-        return new Roster(0, true, hosts);
+        return new ServerList(0, true, hosts);
     }
 
     private static InetSocketAddress address(HostPort of) {
--- a/src/main/java/onyxpaddle/serve/PoolUnit.java
+++ b/src/main/java/onyxpaddle/serve/RunningPool.java
@@ -8,8 +8,8 @@
 import java.util.concurrent.Future;
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
-import onyxpaddle.Balancing.ListKind;
-import onyxpaddle.Balancing.Settings;
+import onyxpaddle.BalancerApi.ListKind;
+import onyxpaddle.BalancerApi.Settings;
 import onyxpaddle.RatioBalancer;
 import onyxpaddle.bridge.HttpOverRpc;
 import onyxpaddle.bridge.RpcOverHttp;
@@ -21,25 +21,25 @@
 import onyxpaddle.config.ServerLists;
 import onyxpaddle.http.HttpBridge;
 import onyxpaddle.http.HttpUpstream;
-import onyxpaddle.http.PlainAnswers;
-import onyxpaddle.http.PlainRequests.Target;
+import onyxpaddle.http.PlainUpstreamDialect;
+import onyxpaddle.http.PlainRequestDialect.Target;
 import onyxpaddle.membership.Discovery;
 import onyxpaddle.membership.ListFile;
 import onyxpaddle.node.Addresses;
-import onyxpaddle.node.Budget.PoolShare;
-import onyxpaddle.node.Budget;
+import onyxpaddle.node.ResourceBudget.PoolShare;
+import onyxpaddle.node.ResourceBudget;
 import onyxpaddle.node.Clock;
 import onyxpaddle.node.Dispatcher;
 import onyxpaddle.node.InFlightLimit;
 import onyxpaddle.node.Log;
-import onyxpaddle.node.Roster;
-import onyxpaddle.node.Tally;
+import onyxpaddle.node.ServerList;
+import onyxpaddle.node.RequestCounts;
 import onyxpaddle.rpc.RpcCalls;
 import onyxpaddle.rpc.RpcCounts;
 import onyxpaddle.rpc.RpcUpstream;
 
 /** A running pool: its servers, the module that decides about them, and where they are learnt from. */
-final class PoolUnit {
+final class RunningPool {
     /**
      * Connections to a server that are kept. Guards against dialling for each request, which leaves the machine without
      * local ports within seconds: a node on one machine may send all its traffic to one server. Does harm where a server
@@ -49,15 +49,15 @@
     private static final long LOOK_MS = 250;
 
     /** What a pool shares with the rest of the node; {@code files}: the thread that reads list files. */
-    record Surroundings(EventLoop loop, ByteBufAllocator allocator, Clock clock, Budget budget,
-            ScheduledExecutorService files, Tally tally, String node) {
+    record Surroundings(EventLoop loop, ByteBufAllocator allocator, Clock clock, ResourceBudget budget,
+            ScheduledExecutorService files, RequestCounts tally, String node) {
     }
 
     final Dispatcher dispatcher;
     private Pool config;
     private final List<RequestClass> classes;
     private final PoolShare share;
-    private final Upstreams upstream;
+    private final MixedProtocolUpstream upstream;
     private final boolean called;
     private final Surroundings around;
     private Discovery discovery;
@@ -65,7 +65,7 @@
     private boolean stopped;
     private boolean anyServer;
 
-    PoolUnit(Pool pool, NodeConfig node, long seed, Surroundings around) {
+    RunningPool(Pool pool, NodeConfig node, long seed, Surroundings around) {
         this.config = pool;
         this.classes = node.classesOf(pool.name());
         this.around = around;
@@ -77,8 +77,8 @@
         dispatcher = new Dispatcher(around.clock(), around.loop(), new RatioBalancer(settings, seed), settings.limits(),
             around.tally(), limit);
         called = node.called(pool.name());
-        upstream = new Upstreams(dispatcher, new HttpUpstream(around.loop(), around.allocator(), around.clock(), share,
-            dispatcher, new PlainAnswers(around.node()), pool.idle(), pool.connectTimeout(), MOST_IDLE,
+        upstream = new MixedProtocolUpstream(dispatcher, new HttpUpstream(around.loop(), around.allocator(), around.clock(), share,
+            dispatcher, new PlainUpstreamDialect(around.node()), pool.idle(), pool.connectTimeout(), MOST_IDLE,
             called ? new RpcOverHttp(share.bytes(), pool.body()) : HttpBridge.NONE), () -> rpc(pool));
         dispatcher.connect(upstream, () -> { });
     }
@@ -92,7 +92,7 @@
     /** Learns its servers from now on. */
     void start() {
         if (config.file() != null) {
-            ListFile file = new ListFile(config.file(), PoolUnit::read, this::take);
+            ListFile file = new ListFile(config.file(), RunningPool::read, this::take);
             watch = around.files().scheduleWithFixedDelay(() -> look(file), LOOK_MS, LOOK_MS, TimeUnit.MILLISECONDS);
             around.files().execute(file::readNow);
         } else if (config.discovery() != null) {
@@ -112,7 +112,7 @@
         }
     }
 
-    private static Optional<Roster> read(Path file) {
+    private static Optional<ServerList> read(Path file) {
         Faults faults = new Faults();
         List<Server> servers = ServerLists.file(file, faults);
         faults.list().stream().limit(5).forEach(fault -> Log.line(fault.toString()));
@@ -120,7 +120,7 @@
     }
 
     /** A list that was read on another thread. */
-    private void take(Roster roster) {
+    private void take(ServerList roster) {
         around.loop().execute(() -> {
             if (!stopped) {
                 Log.line("pool " + config.name() + ": the list file names " + roster.hosts().size() + " servers");
@@ -129,7 +129,7 @@
         });
     }
 
-    private void apply(Roster roster) {
+    private void apply(ServerList roster) {
         anyServer |= !roster.hosts().isEmpty();
         upstream.apply(roster);
         dispatcher.membership(roster.whole() ? ListKind.ALL : ListKind.CHANGES, roster.entries());
--- a/src/main/java/onyxpaddle/serve/Sidecar.java
+++ b/src/main/java/onyxpaddle/serve/Sidecar.java
@@ -30,16 +30,16 @@
 import onyxpaddle.drain.NodeState;
 import onyxpaddle.front.ListeningFront.Surroundings;
 import onyxpaddle.http.HttpFront;
-import onyxpaddle.http.PlainRequests;
-import onyxpaddle.http.PlainRequests.Target;
+import onyxpaddle.http.PlainRequestDialect;
+import onyxpaddle.http.PlainRequestDialect.Target;
 import onyxpaddle.http.RequestDialect;
 import onyxpaddle.node.Addresses;
-import onyxpaddle.node.Budget;
+import onyxpaddle.node.ResourceBudget;
 import onyxpaddle.node.Clock;
 import onyxpaddle.node.Dispatcher;
 import onyxpaddle.node.Front;
 import onyxpaddle.node.Log;
-import onyxpaddle.node.Tally;
+import onyxpaddle.node.RequestCounts;
 import onyxpaddle.route.ProcedureTable;
 import onyxpaddle.route.RouteTable;
 import onyxpaddle.rpc.RpcCalls;
@@ -68,27 +68,27 @@
         thread.setDaemon(true);
         return thread;
     });
-    private final Budget budget;
+    private final ResourceBudget budget;
     /** Of the listeners for others; and of those for what the application itself calls, which end after them. */
     private final NodeState inbound = life.state;
     private final NodeState outbound = new NodeState();
     /** Of the process: a pool that a reload replaces takes no count along. */
-    private final Tally tally = new Tally(List.of());
-    private final Map<String, PoolUnit> pools = new LinkedHashMap<>();
+    private final RequestCounts tally = new RequestCounts(List.of());
+    private final Map<String, RunningPool> pools = new LinkedHashMap<>();
     private final Map<String, Door> doors = new LinkedHashMap<>();
-    private final List<PoolUnit> leavingPools = new ArrayList<>();
+    private final List<RunningPool> leavingPools = new ArrayList<>();
     private final List<Front> leavingFronts = new ArrayList<>();
     private final NodeConfig first;
     private NodeConfig config;
-    /** Null as long as nothing is to be announced. */
-    private Announcing announcing;
+    /** Null as long as nothing is to be bgpReport. */
+    private BgpAnnouncer announcing;
     private Future<?> reaping;
     private long requests;
     /** The change that is under way, and the newest that waits for it. */
     private Change current;
     private Change next;
 
-    /** A listener as it runs; {@code outbound}: the side it was opened on. */
+    /** A listener as it install; {@code outbound}: the side it was opened on. */
     private record Door(Listener listener, Front front, InetSocketAddress bound, boolean outbound) {
     }
 
@@ -98,7 +98,7 @@
     private Sidecar(NodeConfig first) {
         this.first = first;
         long heap = Math.min(first.limits().memory(), Runtime.getRuntime().maxMemory());
-        budget = new Budget(first.limits().descriptors(), heap);
+        budget = new ResourceBudget(first.limits().descriptors(), heap);
     }
 
     /** Runs a node by the file, until it is told to stop; {@code admin}: in place of the file's, null for that. */
@@ -111,7 +111,7 @@
         }
         try {
             Sidecar node = start(admin == null ? first : first.withAdmin(admin));
-            Hangup.runs(() -> node.reload(file));
+            SighupHandler.install(() -> node.reload(file));
             Runtime.getRuntime().addShutdownHook(new Thread(node::drain, "drain"));
         } catch (Exception e) {
             System.err.println("lupinmount: cannot start: " + e.getMessage());
@@ -124,7 +124,7 @@
         Sidecar node = new Sidecar(first);
         HostPort admin = first.admin();
         Path folder = first.handover();
-        node.life.start(new Lifecycle.Terms(first.name(), admin == null ? null : Addresses.of(admin.host(), admin.port()),
+        node.life.start(new Lifecycle.Options(first.name(), admin == null ? null : Addresses.of(admin.host(), admin.port()),
             folder == null ? null : folder.toString(), LONGEST_DRAIN_S));
         return node;
     }
@@ -156,17 +156,17 @@
     }
 
     @Override
-    public List<Dispatcher> leaving() {
+    public List<Dispatcher> retiredPools() {
         return leavingPools.stream().map(pool -> pool.dispatcher).toList();
     }
 
     @Override
-    public String announced() {
+    public String bgpReport() {
         return announcing == null ? null : announcing.report();
     }
 
     @Override
-    public Tally tally() {
+    public RequestCounts tally() {
         return tally;
     }
 
@@ -311,7 +311,7 @@
 
     private void announce(NodeConfig to) {
         if (announcing == null && to.bgp() != null) {
-            announcing = new Announcing(life, () -> pools, () -> leavingPools, seeds.nextLong());
+            announcing = new BgpAnnouncer(life, () -> pools, () -> leavingPools, seeds.nextLong());
         }
         if (announcing != null) {
             announcing.use(to.bgp() != null ? to.bgp() : new BgpConfig(0, 0, null, Map.of(), Map.of()));
@@ -319,17 +319,17 @@
     }
 
     private void commitPools(NodeConfig to) {
-        Map<String, PoolUnit> before = new HashMap<>(pools);
+        Map<String, RunningPool> before = new HashMap<>(pools);
         pools.clear();
         to.pools().forEach((name, pool) -> {
-            PoolUnit old = before.get(name);
+            RunningPool old = before.get(name);
             if (old != null && old.serves(pool, to)) {
                 old.servers(pool);
                 before.remove(name);
                 pools.put(name, old);
             } else {
-                PoolUnit unit = new PoolUnit(pool, to, seeds.nextLong(),
-                    new PoolUnit.Surroundings(loop, allocator, clock, budget, files, tally, to.name()));
+                RunningPool unit = new RunningPool(pool, to, seeds.nextLong(),
+                    new RunningPool.Surroundings(loop, allocator, clock, budget, files, tally, to.name()));
                 unit.start();
                 pools.put(name, unit);
             }
@@ -339,8 +339,8 @@
 
     private RequestDialect dialect(NodeConfig to, Listener listener, Map<String, Target> targets) {
         RouteTable table = new RouteTable(to.routes().stream().filter(r -> r.listener().equals(listener.name())).toList());
-        return new PlainRequests(table, targets, PoolSettings.classes(to), to.tenant(), listener.idle(),
-            () -> idPrefix + Long.toHexString(requests++), HttpOverRpc::sound);
+        return new PlainRequestDialect(table, targets, PoolSettings.classes(to), to.tenant(), listener.idle(),
+            () -> idPrefix + Long.toHexString(requests++), HttpOverRpc::acceptsBody);
     }
 
     private RpcCalls calls(NodeConfig to, Listener listener) {
@@ -360,8 +360,8 @@
             }
             return front.empty();
         });
-        for (Iterator<PoolUnit> i = leavingPools.iterator(); i.hasNext();) {
-            PoolUnit pool = i.next();
+        for (Iterator<RunningPool> i = leavingPools.iterator(); i.hasNext();) {
+            RunningPool pool = i.next();
             // A retired front still reads by the routes it had, so all its pools stay for as long as it does.
             if (leavingFronts.isEmpty() && pool.dispatcher.idle()
                     && doors.values().stream().noneMatch(d -> d.front().uses(pool.dispatcher))) {
@@ -375,7 +375,7 @@
 
     @Override
     public boolean ready() {
-        return pools.values().stream().allMatch(PoolUnit::ready);
+        return pools.values().stream().allMatch(RunningPool::ready);
     }
 
     /** Where a listener is bound; null where there is no such listener. */
@@ -388,7 +388,7 @@
     }
 
     /** How many pools and fronts still end, for tests. */
-    int stillEnding() throws Exception {
+    int retiringCount() throws Exception {
         return loop.submit(() -> leavingPools.size() + leavingFronts.size()).get();
     }
 
@@ -433,7 +433,7 @@
             open.addAll(leavingFronts);
         }
         (outbound ? this.outbound : inbound).end(since, replaced,
-            open.stream().mapToLong(Front::longestPatience).max().orElse(0), late);
+            open.stream().mapToLong(Front::maxCallerTimeout).max().orElse(0), late);
         if (open.isEmpty()) {
             then.run();
             return;
@@ -454,8 +454,8 @@
         }
         doors.values().forEach(door -> door.front().close());
         leavingFronts.forEach(Front::close);
-        pools.values().forEach(PoolUnit::stop);
-        leavingPools.forEach(PoolUnit::stop);
+        pools.values().forEach(RunningPool::stop);
+        leavingPools.forEach(RunningPool::stop);
         files.shutdownNow();
     }
 
--- a/src/main/java/onyxpaddle/serve/Hangup.java
+++ b/src/main/java/onyxpaddle/serve/SighupHandler.java
@@ -7,18 +7,18 @@
  * Catches SIGHUP, on which the JVM would end otherwise. The JDK's class for signals is called by reflection: it
  * is in a supported module, but javac warns of its name, and warnings are errors here.
  */
-final class Hangup {
-    private Hangup() {
+final class SighupHandler {
+    private SighupHandler() {
     }
 
     /**
-     * From now on SIGHUP runs the action, on a thread of the JVM's own, in place of ending the process. A process that
+     * From now on SIGHUP install the action, on a thread of the JVM's own, in place of ending the process. A process that
      * was started with SIGHUP ignored, as by nohup, never sees one: the JVM leaves it so, and this says it.
      */
-    static void runs(Runnable action) throws ReflectiveOperationException {
+    static void install(Runnable action) throws ReflectiveOperationException {
         Class<?> signal = Class.forName("sun.misc.Signal");
         Class<?> handlerType = Class.forName("sun.misc.SignalHandler");
-        Object handler = Proxy.newProxyInstance(Hangup.class.getClassLoader(), new Class<?>[] {handlerType},
+        Object handler = Proxy.newProxyInstance(SighupHandler.class.getClassLoader(), new Class<?>[] {handlerType},
             (proxy, method, arguments) -> switch (method.getName()) {
                 case "handle" -> {
                     action.run();
--- a/src/main/java/onyxpaddle/serve/SitesGuard.java
+++ b/src/main/java/onyxpaddle/serve/SiteGates.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import java.util.Set;
 import java.util.stream.Collectors;
-import onyxpaddle.Balancing.Settings;
+import onyxpaddle.BalancerApi.Settings;
 import onyxpaddle.config.Faults;
 import onyxpaddle.config.Shape.Kind;
 import onyxpaddle.config.Shape.Section;
@@ -18,18 +18,18 @@
 import onyxpaddle.config.SourceFile;
 import onyxpaddle.config.Value;
 import onyxpaddle.config.View;
-import onyxpaddle.node.Gate;
+import onyxpaddle.node.SiteGate;
 import onyxpaddle.node.Log;
 import onyxpaddle.site.Fleet;
-import onyxpaddle.site.LossPlan;
+import onyxpaddle.site.FailoverPlan;
 import onyxpaddle.site.PlanGate;
 import onyxpaddle.site.SiteRules;
-import onyxpaddle.site.Sites;
+import onyxpaddle.site.SiteMonitor;
 import onyxpaddle.siteplan.PlanFile;
 import onyxpaddle.siteplan.SitesReader;
 
 /** The gate of a node that is told of sites by a file of ours: a node that can't use it serves without, and says so. */
-final class SitesGuard {
+final class SiteGates {
     private static final double MS = 1e6;
     private static final int MOST_TOLD = 10;
 
@@ -41,19 +41,19 @@
         optional("hold", within(Kind.SPAN, 0, 600_000 * MS), "2 s", "how long a step of a return is held at the least"),
         optional("silence", within(Kind.SPAN, MS, 60_000 * MS), "1 s", "how long an answer shows that a site is reached"));
 
-    private SitesGuard() {
+    private SiteGates() {
     }
 
     /** Null where the file, or one that it names, has faults; they are in the log then. */
-    static Gate of(String file, Settings settings, long seed) {
+    static SiteGate of(String file, Settings settings, long seed) {
         Faults faults = new Faults();
-        Gate gate = read(Path.of(file), settings, seed, faults);
+        SiteGate gate = read(Path.of(file), settings, seed, faults);
         faults.list().stream().limit(MOST_TOLD).forEach(f -> Log.line("sites: " + f));
         Log.line(gate == null ? "sites: serves without a plan for their loss" : "sites: a plan for their loss is loaded");
         return gate;
     }
 
-    private static Gate read(Path file, Settings settings, long seed, Faults faults) {
+    private static SiteGate read(Path file, Settings settings, long seed, Faults faults) {
         Value value = SourceFile.read(file, faults);
         if (value == null) {
             return null;
@@ -65,7 +65,7 @@
             return null;
         }
         Fleet fleet = SitesReader.file(folder.resolve(root.text("sites", Kind.TEXT, "")), faults);
-        LossPlan plan = fleet == null ? null : PlanFile.file(folder.resolve(root.text("plan", Kind.TEXT, "")), fleet, faults);
+        FailoverPlan plan = fleet == null ? null : PlanFile.file(folder.resolve(root.text("plan", Kind.TEXT, "")), fleet, faults);
         if (plan == null) {
             return null;
         }
@@ -80,8 +80,8 @@
         }
         SiteRules usual = SiteRules.USUAL;
         SiteRules rules = new SiteRules(usual.servers(), root.span("confirm", usual.confirm()), usual.steps(), root.span("hold", usual.hold()), usual.answers(),
-            usual.mostFailing(), usual.penalty(), usual.suppress(), usual.reuse(), usual.halfLife());
-        Sites sites = new Sites(settings.zone(), List.copyOf(fleet.sites().keySet()), rules, root.span("silence", 1_000_000_000L));
+            usual.maxFailureShare(), usual.penalty(), usual.suppress(), usual.reuse(), usual.halfLife());
+        SiteMonitor sites = new SiteMonitor(settings.zone(), List.copyOf(fleet.sites().keySet()), rules, root.span("silence", 1_000_000_000L));
         return new PlanGate(fleet, plan, sites, settings.limits().retryAfter() ? settings.limits().maxRetryAfter() : 0, seed, Log::line);
     }
 }
--- a/src/main/java/onyxpaddle/serve/Rehearsal.java
+++ b/src/main/java/onyxpaddle/serve/TrainingRun.java
@@ -15,15 +15,15 @@
 import java.util.stream.Stream;
 
 /**
- * A node's usual work in small, on loopback sockets of its own. The build runs it once so that the JVM can store
+ * A node's usual work in small, on loopback sockets of its own. The build install it once so that the JVM can store
  * the classes that a node loads: a node that is restarted is away for as long as its start takes, and most of that
  * was the loading of classes. A run without the stored classes does the same, only later.
  */
-public final class Rehearsal {
+public final class TrainingRun {
     private static final int REQUESTS = 200;
     private static final byte[] LIST = "{\"seq\":2,\"whole\":false,\"hosts\":[]}".getBytes(StandardCharsets.US_ASCII);
 
-    private Rehearsal() {
+    private TrainingRun() {
     }
 
     public static void main() throws Exception {
@@ -37,7 +37,7 @@
             exchange.close();
         });
         peers.start();
-        Hangup.runs(() -> { });
+        SighupHandler.install(() -> { });
         Path folder = Files.createTempDirectory("node");
         Node node = node(peers, "127.0.0.1:0", folder);
         for (int i = 0; i < REQUESTS; i++) {
--- a/src/main/java/onyxpaddle/sidecar/Explanation.java
+++ b/src/main/java/onyxpaddle/sidecar/Explanation.java
@@ -52,7 +52,7 @@
         }
         for (Route other : routes) {
             if (other != route) {
-                String miss = RouteTable.misses(other, host, path, method, header);
+                String miss = RouteTable.mismatch(other, host, path, method, header);
                 lines.put("not " + other.name(), miss != null ? miss : "holds too, but " + route.name() + " ("
                     + route.conditions() + ") goes before " + other.conditions());
             }
@@ -106,7 +106,7 @@
         boolean unkeyed = c.effect() == Effect.KEYED && !headers.containsKey("idempotency-key");
         lines.put("route", route.name() + " (" + route.conditions() + ")");
         lines.put("pool", pool.name() + ": " + servers(pool));
-        lines.put("goes on as", route.rewritten(path) + (url.getRawQuery() == null ? "" : "?" + url.getRawQuery()));
+        lines.put("goes on as", route.rewrittenPath(path) + (url.getRawQuery() == null ? "" : "?" + url.getRawQuery()));
         lines.put("class", c.name());
         lines.put("effect", unkeyed ? "unsafe, as it is keyed and has no Idempotency-Key"
             : c.effect().name().toLowerCase(Locale.ROOT));
--- a/src/main/java/onyxpaddle/site/LossPlan.java
+++ b/src/main/java/onyxpaddle/site/FailoverPlan.java
@@ -14,16 +14,16 @@
  * @param of tells what it was made for from all else
  * @param fleet its name
  */
-public record LossPlan(String of, String fleet, List<Case> cases) {
+public record FailoverPlan(String of, String fleet, List<Case> cases) {
     /**
      * One loss.
      *
      * @param lost the sites; none for the usual day
      * @param served by class, the part of its requests that is served, 0 to 1
      * @param to by the site at which requests come, the parts of its work that go to each survivor; they add up to 1
-     * @param price what it comes to; null in a plan that was read from a file
+     * @param evaluation what it comes to; null in a plan that was read from a file
      */
-    public record Case(Set<String> lost, Map<String, Double> served, Map<String, Map<String, Double>> to, Price price) {
+    public record Case(Set<String> lost, Map<String, Double> served, Map<String, Map<String, Double>> to, Evaluation evaluation) {
         public Case {
             lost = Collections.unmodifiableSet(new TreeSet<>(lost));
             served = Collections.unmodifiableMap(new TreeMap<>(served));
@@ -41,14 +41,14 @@
      * @param floors the part of the stated floors that is held: below 1 where no plan can hold them
      * @param binds what keeps more from being served, in words; empty where all is served
      */
-    public record Price(double worth, Map<String, Double> use, double floors, List<String> binds) {
-        public Price {
+    public record Evaluation(double worth, Map<String, Double> use, double floors, List<String> binds) {
+        public Evaluation {
             use = Collections.unmodifiableMap(new TreeMap<>(use));
             binds = List.copyOf(binds);
         }
     }
 
-    public LossPlan {
+    public FailoverPlan {
         cases = List.copyOf(cases);
     }
 
--- a/src/main/java/onyxpaddle/site/Fleet.java
+++ b/src/main/java/onyxpaddle/site/Fleet.java
@@ -89,7 +89,7 @@
     }
 
     /** The classes in the order in which they are refused: those whose work is worth least first. */
-    public List<String> refusedFirst() {
+    public List<String> refusalOrder() {
         return classes.keySet().stream().sorted(java.util.Comparator.comparingDouble((String c) -> classes.get(c).worthOfWork()).thenComparing(c -> c)).toList();
     }
 
--- a/src/main/java/onyxpaddle/site/PlanGate.java
+++ b/src/main/java/onyxpaddle/site/PlanGate.java
@@ -10,12 +10,12 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 import java.util.function.Consumer;
-import onyxpaddle.Balancing.ListKind;
-import onyxpaddle.Balancing.Outcome;
-import onyxpaddle.Balancing.ServerEntry;
-import onyxpaddle.Balancing.ServerState;
-import onyxpaddle.node.Gate;
-import onyxpaddle.site.LossPlan.Case;
+import onyxpaddle.BalancerApi.ListKind;
+import onyxpaddle.BalancerApi.Outcome;
+import onyxpaddle.BalancerApi.ServerEntry;
+import onyxpaddle.BalancerApi.ServerState;
+import onyxpaddle.node.SiteGate;
+import onyxpaddle.site.FailoverPlan.Case;
 import onyxpaddle.site.SiteState.Phase;
 import onyxpaddle.site.SiteState.Word;
 
@@ -29,7 +29,7 @@
  * <p>It does harm where the nodes of a site that is lost live on and keep their clients: survivors then have more than their part to give and
  * refuse too little, which is left to the module's own limit.
  */
-public final class PlanGate implements Gate {
+public final class PlanGate implements SiteGate {
     /** Over which arrivals are counted, in seconds. */
     private static final double SPAN_S = 1;
     /** How often the parts that are let in are worked out anew. */
@@ -40,8 +40,8 @@
     private static final double SOONEST = 0.25;
 
     private final Fleet fleet;
-    private final LossPlan plan;
-    private final Sites sites;
+    private final FailoverPlan plan;
+    private final SiteMonitor sites;
     private final long longestAway;
     private final SplittableRandom random;
     private final Consumer<String> log;
@@ -77,7 +77,7 @@
      * {@code sites}: as this node sees them; {@code longestAway}: the longest time in nanoseconds that a client may be told to stay away, 0 where it
      * may not be told; {@code log}: takes a line for each change.
      */
-    public PlanGate(Fleet fleet, LossPlan plan, Sites sites, long longestAway, long seed, Consumer<String> log) {
+    public PlanGate(Fleet fleet, FailoverPlan plan, SiteMonitor sites, long longestAway, long seed, Consumer<String> log) {
         this.fleet = fleet;
         this.plan = plan;
         this.sites = sites;
@@ -85,7 +85,7 @@
         this.random = new SplittableRandom(seed);
         this.log = log;
         fleet.classes().keySet().forEach(c -> counts.put(c, new Count()));
-        best = new ArrayList<>(fleet.refusedFirst());
+        best = new ArrayList<>(fleet.refusalOrder());
         java.util.Collections.reverse(best);
     }
 
@@ -93,20 +93,20 @@
     public long refuses(long now, String requestClass) {
         Count count = counts.get(requestClass);
         if (count == null) {
-            return LET_IN;
+            return ADMITTED;
         }
         count.came(now);
         sites.tick(now);
         news();
         if (open) {
-            return LET_IN;
+            return ADMITTED;
         }
         if (stale || now - workedOutAt >= ANEW) {
             workOut(now);
         }
         count.owed += 1 - count.letIn;
         if (count.owed < 1) {
-            return LET_IN;
+            return ADMITTED;
         }
         count.owed -= 1;
         return (long) (longestAway * (SOONEST + (1 - SOONEST) * random.nextDouble()));
@@ -119,7 +119,7 @@
             return;
         }
         switch (outcome) {
-            case OK, ERROR, FULL, REJECTED, SPENT -> sites.answered(now, site, server);
+            case OK, ERROR, FULL, REJECTED, NOT_REPLAYABLE -> sites.answered(now, site, server);
             case TIMED_OUT, CONNECT_FAILED -> sites.unreachable(now, site, server);
             case CANCELLED -> {
                 // Another attempt was quicker, or its client left: that it was silent for long is what counts.
@@ -162,7 +162,7 @@
     }
 
     @Override
-    public List<Site> standing(long now) {
+    public List<Site> siteStatuses(long now) {
         sites.tick(now);
         news();
         return fleet.sites().keySet().stream().map(name -> new Site(name, phase(name).name().toLowerCase(Locale.ROOT), sites.state(name).held(),
@@ -199,7 +199,7 @@
     }
 
     private void news() {
-        for (Sites.Change change : sites.changes()) {
+        for (SiteMonitor.Change change : sites.changes()) {
             log.accept("site " + change.site() + ": " + change.from() + " to " + change.to() + (change.ownSiteCut() ? ", while this node's own is cut off" : ""));
             stale = true;
         }
--- a/src/main/java/onyxpaddle/site/Sites.java
+++ b/src/main/java/onyxpaddle/site/SiteMonitor.java
@@ -12,7 +12,7 @@
  * it is the own site that is cut off, and none of the others is held to be lost. With two sites these look alike from within; then the other
  * counts as lost, as its load can't be reached either way. Does no I/O.
  */
-public final class Sites {
+public final class SiteMonitor {
     /** A change of a site's phase, for a line of the log. */
     public record Change(long at, String site, Phase from, Phase to, boolean ownSiteCut) {
     }
@@ -27,7 +27,7 @@
     private final List<Change> changes = new ArrayList<>();
 
     /** {@code own}: the node's site; {@code silence}: how long, in nanoseconds, an answer shows that a site is reached. */
-    public Sites(String own, List<String> names, SiteRules rules, long silence) {
+    public SiteMonitor(String own, List<String> names, SiteRules rules, long silence) {
         this.own = own;
         this.silence = silence;
         names.forEach(name -> states.put(name, new SiteState(rules)));
--- a/src/main/java/onyxpaddle/site/SiteRules.java
+++ b/src/main/java/onyxpaddle/site/SiteRules.java
@@ -11,13 +11,13 @@
  * @param steps the shares of its load that a site that returns gets one after the other, the last one 1
  * @param hold how long a step is held at the least
  * @param answers how many answers a step needs before the next
- * @param mostFailing the share of failures at which a step goes back
+ * @param maxFailureShare the share of failures at which a step goes back
  * @param penalty what each loss adds to a site's penalty (RFC 2439, 4.2)
  * @param suppress the penalty from which a site is held down
  * @param reuse the penalty below which it may return
  * @param halfLife the time in which a penalty loses half of its height
  */
-public record SiteRules(int servers, long confirm, List<Double> steps, long hold, int answers, double mostFailing, double penalty,
+public record SiteRules(int servers, long confirm, List<Double> steps, long hold, int answers, double maxFailureShare, double penalty,
         double suppress, double reuse, long halfLife) {
     /** The usual ones. */
     public static final SiteRules USUAL = new SiteRules(3, 500_000_000L, List.of(0.1, 0.25, 0.5, 1.0), 2_000_000_000L, 20, 0.2, 1_000, 2_500, 750, 15_000_000_000L);
@@ -32,7 +32,7 @@
             require(steps.get(i) > (i == 0 ? 0 : steps.get(i - 1)), "steps: each above the one before, the first above 0");
         }
         require(answers >= 1, "answers: at least 1");
-        require(mostFailing > 0 && mostFailing < 1, "mostFailing: between 0 and 1");
+        require(maxFailureShare > 0 && maxFailureShare < 1, "mostFailing: between 0 and 1");
         require(penalty > 0 && reuse > 0 && suppress > reuse, "penalty, reuse: above 0; suppress: above reuse");
         require(halfLife > 0, "halfLife: above 0");
     }
--- a/src/main/java/onyxpaddle/site/SiteState.java
+++ b/src/main/java/onyxpaddle/site/SiteState.java
@@ -69,7 +69,7 @@
         tick(now);
     }
 
-    /** No connection to a server came up, or it said nothing in time. {@code ownSiteCut}: see {@link Sites}. */
+    /** No connection to a server came up, or it said nothing in time. {@code ownSiteCut}: see {@link SiteMonitor}. */
     public final void unreachable(long now, String server, boolean ownSiteCut) {
         if (failing.size() < MOST_REMEMBERED) {
             failing.add(server);
@@ -194,7 +194,7 @@
     // ---- moves ----
 
     private void climb(long now) {
-        if (answers + failures >= rules.answers() && failures >= rules.mostFailing() * (answers + failures) || answers == 0 && suspect()) {
+        if (answers + failures >= rules.answers() && failures >= rules.maxFailureShare() * (answers + failures) || answers == 0 && suspect()) {
             back(now);
         } else if (enough(now)) {
             if (step + 1 == rules.steps().size()) {
--- a/src/main/java/onyxpaddle/siteplan/PlanFile.java
+++ b/src/main/java/onyxpaddle/siteplan/PlanFile.java
@@ -30,8 +30,8 @@
 import onyxpaddle.config.Value;
 import onyxpaddle.config.View;
 import onyxpaddle.site.Fleet;
-import onyxpaddle.site.LossPlan;
-import onyxpaddle.site.LossPlan.Case;
+import onyxpaddle.site.FailoverPlan;
+import onyxpaddle.site.FailoverPlan.Case;
 
 /** A plan as a file that nodes load: writes one, and reads one with all that is wrong with it. Needs no solver. */
 public final class PlanFile {
@@ -71,7 +71,7 @@
     }
 
     /** The text of a plan's file. */
-    public static String text(LossPlan plan) {
+    public static String text(FailoverPlan plan) {
         StringBuilder out = new StringBuilder("# Made by `lupinmount sites plan`; made anew when the sites' file changes.\n");
         out.append("plan: ").append(VERSION).append("\nfleet: ").append(plan.fleet()).append("\nof: \"").append(plan.of()).append("\"\ncases:\n");
         for (Case c : plan.cases()) {
@@ -88,23 +88,23 @@
     }
 
     /** The plan in a file, which has to be one for this fleet; null where it has faults. */
-    public static LossPlan file(Path file, Fleet fleet, Faults faults) {
+    public static FailoverPlan file(Path file, Fleet fleet, Faults faults) {
         String text = SourceFile.text(file, faults);
         return text == null ? null : read(file.toString(), text, fleet, faults);
     }
 
     /** As {@link #file}, of a file's text. */
-    public static LossPlan read(String name, String text, Fleet fleet, Faults faults) {
+    public static FailoverPlan read(String name, String text, Fleet fleet, Faults faults) {
         Value value = SourceFile.parse(name, text, faults);
         if (value == null) {
             return null;
         }
         ShapeCheck.check(value, ALL, faults);
-        LossPlan plan = new PlanFile(fleet, new View(value), faults).all();
+        FailoverPlan plan = new PlanFile(fleet, new View(value), faults).all();
         return faults.any() ? null : plan;
     }
 
-    private LossPlan all() {
+    private FailoverPlan all() {
         if (root.count("plan", VERSION) != VERSION) {
             faults.add(root.place("plan"), "plan", "is of another version of the program", "version " + VERSION + ": `lupinmount sites plan` makes it anew");
         }
@@ -130,7 +130,7 @@
                     "a plan made for these sites");
             }
         }
-        return new LossPlan(of, fleetName, cases);
+        return new FailoverPlan(of, fleetName, cases);
     }
 
     private Case one(View view) {
--- a/src/main/java/onyxpaddle/siteplan/PlanText.java
+++ b/src/main/java/onyxpaddle/siteplan/PlanReport.java
@@ -7,23 +7,23 @@
 import java.util.Set;
 import java.util.stream.Collectors;
 import onyxpaddle.site.Fleet;
-import onyxpaddle.site.LossPlan;
-import onyxpaddle.site.LossPlan.Case;
+import onyxpaddle.site.FailoverPlan;
+import onyxpaddle.site.FailoverPlan.Case;
 
 /** A plan in words, for operators. */
-public final class PlanText {
+public final class PlanReport {
     /** How wrong a stated capacity may be before it is told what that would mean. */
     private static final double[] OFF = {0.7, 1.3};
 
-    private PlanText() {
+    private PlanReport() {
     }
 
     /** A line for each loss. */
-    public static List<String> table(Fleet fleet, LossPlan plan) {
+    public static List<String> table(Fleet fleet, FailoverPlan plan) {
         List<String> lines = new ArrayList<>();
         lines.add(String.format("%-24s %9s  %-40s %s", "lost", "worth", "refused", "use of survivors"));
         for (Case c : plan.cases()) {
-            lines.add(String.format(Locale.ROOT, "%-24s %8.1f%%  %-40s %s", name(c.lost()), 100 * c.price().worth() / fleet.worth(), refused(fleet, c), percents(c.price().use())));
+            lines.add(String.format(Locale.ROOT, "%-24s %8.1f%%  %-40s %s", name(c.lost()), 100 * c.evaluation().worth() / fleet.worth(), refused(fleet, c), percents(c.evaluation().use())));
         }
         return lines;
     }
@@ -33,7 +33,7 @@
     }
 
     private static String refused(Fleet fleet, Case c) {
-        String all = fleet.refusedFirst().stream().filter(name -> c.served().get(name) < 1)
+        String all = fleet.refusalOrder().stream().filter(name -> c.served().get(name) < 1)
             .map(name -> String.format(Locale.ROOT, "%s %.1f%%", name, 100 * (1 - c.served().get(name)))).collect(Collectors.joining(", "));
         return all.isEmpty() ? "nothing" : all;
     }
@@ -49,23 +49,23 @@
         lines.add("lost: " + name(lost));
         c.to().forEach((from, parts) -> lines.add(String.format(Locale.ROOT, "clients of %s (%.2f seconds of work a second): to %s", from, fleet.work(from), percents(parts))));
         lines.add("refused first to last, by the worth of a second of work:");
-        for (String name : fleet.refusedFirst()) {
+        for (String name : fleet.refusalOrder()) {
             Fleet.Kind kind = fleet.classes().get(name);
             lines.add(String.format(Locale.ROOT, "    %s (worth %.1f): %.1f%% refused, never more than %.1f%%", name, kind.worthOfWork(), 100 * (1 - c.served().get(name)),
                 100 * (1 - kind.floor())));
         }
-        lines.add("use of survivors, of all that each can do: " + percents(c.price().use()));
-        lines.add(String.format(Locale.ROOT, "worth served: %.1f of %.1f a second, %.1f lost", c.price().worth(), fleet.worth(), fleet.worth() - c.price().worth()));
-        lines.add("what binds: " + (c.price().binds().isEmpty() ? "nothing" : String.join(", ", c.price().binds())));
-        if (c.price().floors() < 1) {
+        lines.add("use of survivors, of all that each can do: " + percents(c.evaluation().use()));
+        lines.add(String.format(Locale.ROOT, "worth served: %.1f of %.1f a second, %.1f lost", c.evaluation().worth(), fleet.worth(), fleet.worth() - c.evaluation().worth()));
+        lines.add("what binds: " + (c.evaluation().binds().isEmpty() ? "nothing" : String.join(", ", c.evaluation().binds())));
+        if (c.evaluation().floors() < 1) {
             lines.add(String.format(Locale.ROOT, "no plan can hold the floors: what is left can do %.1f%% of them, which is what each class gets; lower floors, "
-                + "more capacity or wider ways between sites would be needed", 100 * c.price().floors()));
+                + "more capacity or wider ways between sites would be needed", 100 * c.evaluation().floors()));
         }
         for (double off : OFF) {
             Case other = Planner.solve(fleet.scaled(off), lost);
             lines.add(String.format(Locale.ROOT, "if each site can do %.1f of what is stated: survivors would be at %s by this plan; the best would be %.1f worth, refusing %s", off,
-                percents(c.price().use().entrySet().stream().collect(Collectors.toMap(Map.Entry::getKey, e -> e.getValue() / off, (a, b) -> a, java.util.TreeMap::new))),
-                other.price().worth(), refused(fleet, other)));
+                percents(c.evaluation().use().entrySet().stream().collect(Collectors.toMap(Map.Entry::getKey, e -> e.getValue() / off, (a, b) -> a, java.util.TreeMap::new))),
+                other.evaluation().worth(), refused(fleet, other)));
         }
         return lines;
     }
--- a/src/main/java/onyxpaddle/siteplan/Planner.java
+++ b/src/main/java/onyxpaddle/siteplan/Planner.java
@@ -8,9 +8,9 @@
 import onyxpaddle.site.Fleet;
 import onyxpaddle.site.Fleet.Crossing;
 import onyxpaddle.site.Fleet.Kind;
-import onyxpaddle.site.LossPlan;
-import onyxpaddle.site.LossPlan.Case;
-import onyxpaddle.site.LossPlan.Price;
+import onyxpaddle.site.FailoverPlan;
+import onyxpaddle.site.FailoverPlan.Case;
+import onyxpaddle.site.FailoverPlan.Evaluation;
 import org.ojalgo.optimisation.Expression;
 import org.ojalgo.optimisation.ExpressionsBasedModel;
 import org.ojalgo.optimisation.Optimisation;
@@ -34,10 +34,10 @@
     }
 
     /** A plan for every loss of one site and of two. */
-    public static LossPlan plan(Fleet fleet) {
+    public static FailoverPlan plan(Fleet fleet) {
         List<Case> cases = new ArrayList<>();
         fleet.losses().forEach(lost -> cases.add(solve(fleet, lost)));
-        return new LossPlan(PlanFile.digest(fleet), fleet.name(), cases);
+        return new FailoverPlan(PlanFile.digest(fleet), fleet.name(), cases);
     }
 
     /** The best that can be done when these are lost. */
@@ -211,7 +211,7 @@
                 }
             });
             double worth = fleet.classes().entrySet().stream().mapToDouble(c -> served.get(c.getKey()) * c.getValue().worth() * c.getValue().total()).sum();
-            return new Case(survivorsMissing(), served, to, new Price(worth - crossingCost(), use, floors, binds));
+            return new Case(survivorsMissing(), served, to, new Evaluation(worth - crossingCost(), use, floors, binds));
         }
 
         private Set<String> survivorsMissing() {
--- a/src/main/java/onyxpaddle/socket/PollableChannel.java
+++ b/src/main/java/onyxpaddle/socket/PollableChannel.java
@@ -5,7 +5,7 @@
 import io.netty.channel.socket.nio.NioSocketChannel;
 import java.io.IOException;
 import java.nio.channels.SocketChannel;
-import onyxpaddle.node.Sockets;
+import onyxpaddle.node.SocketBuffers;
 
 /**
  * A connection that can be asked at any moment, before the loop comes to its socket, whether its peer has sent something or has
@@ -19,10 +19,10 @@
  */
 public final class PollableChannel extends NioSocketChannel {
     /** The most that is held of what came ahead of its turn, in bytes: of a peer that has sent more, an end is not seen by this. */
-    private static final int MOST_EARLY = 4 * Sockets.READ_SIZE;
+    private static final int MOST_EARLY = 4 * SocketBuffers.READ_SIZE;
 
     /** What a poll has found. */
-    public enum Found {
+    public enum PollResult {
         NOTHING,
         /** Something that the pipeline has not had yet. */
         BYTES,
@@ -43,9 +43,9 @@
     }
 
     /** Looks at the socket now. At an end the channel is closed, and its pipeline hears so in its turn. */
-    public Found poll() {
+    public PollResult poll() {
         if (!isActive()) {
-            return Found.END;
+            return PollResult.END;
         }
         boolean ended;
         try {
@@ -57,14 +57,14 @@
         if (ended) {
             drop();
             close();
-            return Found.END;
+            return PollResult.END;
         }
-        return early == null ? Found.NOTHING : Found.BYTES;
+        return early == null ? PollResult.NOTHING : PollResult.BYTES;
     }
 
     /** Takes in what has come; whether it is the last. */
     private boolean readAhead() throws IOException {
-        ByteBuf into = alloc().directBuffer(Sockets.READ_SIZE);
+        ByteBuf into = alloc().directBuffer(SocketBuffers.READ_SIZE);
         try {
             while (early == null || early.readableBytes() < MOST_EARLY) {
                 int count = into.clear().writeBytes(javaChannel(), into.capacity());
--- a/src/main/java/onyxpaddle/watch/WatchCall.java
+++ b/src/main/java/onyxpaddle/watch/WatchClient.java
@@ -27,9 +27,9 @@
 /**
  * Calls one HTTP server, one GET at a time, over a connection that is kept from call to call. Each call has a bound for the connection,
  * for the answer's first byte, for a stall within it and for the whole of it; it ends in an answer or a failure, once, and neither after
- * {@link #drop} or {@link #stop}. All of it happens on the event loop.
+ * {@link #disconnect} or {@link #stop}. All of it happens on the event loop.
  */
-public final class WatchCall {
+public final class WatchClient {
     /** How long an answer that has begun may bring nothing, and how long it may take from then on; the caller bounds the whole. */
     private static final int STALL_MS = 400;
     private static final int LONGEST_ANSWER_MS = 1500;
@@ -58,7 +58,7 @@
     private long wholeBy;
 
     /** {@code largestAnswer}: bytes of an answer's body beyond which it counts as broken; bounds what the caller can be made to hold. */
-    public WatchCall(EventLoop loop, ByteBufAllocator allocator, InetSocketAddress address, int largestAnswer, Listener listener) {
+    public WatchClient(EventLoop loop, ByteBufAllocator allocator, InetSocketAddress address, int largestAnswer, Listener listener) {
         this.loop = loop;
         this.listener = listener;
         host = address.getAddress().getHostAddress() + ":" + address.getPort();
@@ -101,7 +101,7 @@
     }
 
     /** Lets go of the connection; a call that is out ends without a word, and the next one connects anew. */
-    public void drop() {
+    public void disconnect() {
         calling = false;
         stopTimeout();
         if (channel != null) {
@@ -127,7 +127,7 @@
         if (!calling || on != channel) {
             return;
         }
-        drop();
+        disconnect();
         listener.failed(why, turnedAway);
     }
 
--- a/src/main/java/onyxpaddle/wire/Adapter.java
+++ b/src/main/java/onyxpaddle/wire/Adapter.java
@@ -10,7 +10,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import onyxpaddle.Balancing.*;
+import onyxpaddle.BalancerApi.*;
 import onyxpaddle.FlatSettings;
 import onyxpaddle.RatioBalancer;
 
@@ -20,7 +20,7 @@
         "QueueFull", Outcome.FULL, "TimedOut", Outcome.TIMED_OUT, "ConnectError", Outcome.CONNECT_FAILED,
         "ResetByPeer", Outcome.RESET, "Canceled", Outcome.CANCELLED, "Ignored", Outcome.NOT_SENT);
     private static final Map<String, ListKind> LIST_KINDS = Map.of("changes", ListKind.CHANGES,
-        "all", ListKind.ALL, "remembered", ListKind.REMEMBERED, "refused", ListKind.REFUSED);
+        "all", ListKind.ALL, "remembered", ListKind.CACHED, "refused", ListKind.REFUSED);
     private static final Map<String, ServerState> STATES = Map.of("U", ServerState.READY,
         "L", ServerState.DRAINING, "D", ServerState.GONE);
     private static final int HINT_VALID = 1;
--- a/src/test/java/onyxpaddle/AdmissionTest.java
+++ b/src/test/java/onyxpaddle/AdmissionTest.java
@@ -8,7 +8,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import onyxpaddle.Balancing.*;
+import onyxpaddle.BalancerApi.*;
 import org.junit.jupiter.api.Test;
 
 class AdmissionTest {
--- a/src/test/java/onyxpaddle/ColdFleetTest.java
+++ b/src/test/java/onyxpaddle/ColdFleetTest.java
@@ -8,7 +8,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import onyxpaddle.Balancing.*;
+import onyxpaddle.BalancerApi.*;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
--- a/src/test/java/onyxpaddle/ColdServerTest.java
+++ b/src/test/java/onyxpaddle/ColdServerTest.java
@@ -7,7 +7,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import onyxpaddle.Balancing.*;
+import onyxpaddle.BalancerApi.*;
 import org.junit.jupiter.api.Test;
 
 class ColdServerTest {
@@ -45,7 +45,7 @@
         for (int i = 0; i < cold; i++) {
             entries.add(node.entry("c" + i, ServerState.READY, node.now));
         }
-        node.handle(new Membership(ListKind.REMEMBERED, entries));
+        node.handle(new Membership(ListKind.CACHED, entries));
         return node;
     }
 
@@ -79,7 +79,7 @@
         int first = 0;
         for (int seed = 0; seed < 100; seed++) {
             Node node = new Node(Node.settings(Node.requestClass("read", Effect.SAFE, KeyGroup.ALL)), seed);
-            node.handle(new Membership(ListKind.REMEMBERED, List.of(node.entry("c", ServerState.READY, node.now))));
+            node.handle(new Membership(ListKind.CACHED, List.of(node.entry("c", ServerState.READY, node.now))));
             first += sent(node.arrive("r", "read")) == null ? 0 : 1;
         }
         assertTrue(first < 25, first + " of 100 nodes sent at once");
--- a/src/test/java/onyxpaddle/DrawTest.java
+++ b/src/test/java/onyxpaddle/DrawTest.java
@@ -9,7 +9,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import onyxpaddle.Balancing.*;
+import onyxpaddle.BalancerApi.*;
 import org.junit.jupiter.api.Test;
 
 class DrawTest {
--- a/src/test/java/onyxpaddle/FurtherAttemptsTest.java
+++ b/src/test/java/onyxpaddle/FurtherAttemptsTest.java
@@ -11,7 +11,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
-import onyxpaddle.Balancing.*;
+import onyxpaddle.BalancerApi.*;
 import org.junit.jupiter.api.Test;
 
 class FurtherAttemptsTest {
--- a/src/test/java/onyxpaddle/Herd.java
+++ b/src/test/java/onyxpaddle/Herd.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.PriorityQueue;
 import java.util.Random;
-import onyxpaddle.Balancing.*;
+import onyxpaddle.BalancerApi.*;
 
 /** Many decision modules with seeds and numbers of their own on one handed-in clock, and what they do together. */
 final class Herd {
--- a/src/test/java/onyxpaddle/MembershipTest.java
+++ b/src/test/java/onyxpaddle/MembershipTest.java
@@ -12,7 +12,7 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import onyxpaddle.Balancing.*;
+import onyxpaddle.BalancerApi.*;
 import org.junit.jupiter.api.Test;
 
 class MembershipTest {
@@ -23,7 +23,7 @@
     }
 
     private static List<Action> remembered(Node node) {
-        return node.handle(new Membership(ListKind.REMEMBERED, List.of(node.entry("a", ServerState.READY, 0))));
+        return node.handle(new Membership(ListKind.CACHED, List.of(node.entry("a", ServerState.READY, 0))));
     }
 
     @Test
--- a/src/test/java/onyxpaddle/Node.java
+++ b/src/test/java/onyxpaddle/Node.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
-import onyxpaddle.Balancing.*;
+import onyxpaddle.BalancerApi.*;
 
 /** A module under test with made-up settings and a hand-moved clock. */
 final class Node {
--- a/src/test/java/onyxpaddle/PackageRulesTest.java
+++ b/src/test/java/onyxpaddle/PackageRulesTest.java
@@ -18,9 +18,9 @@
     private static final JavaClasses ALL = new ClassFileImporter()
         .withImportOption(new ImportOption.DoNotIncludeTests()).importPackages("onyxpaddle");
     /** Modules that decide, besides the root package. */
-    private static final Set<String> DECIDERS = Set.of("onyxpaddle.RatioBalancer", "onyxpaddle.Balancing",
-        "onyxpaddle.FlatSettings", "onyxpaddle.ClassUse", "onyxpaddle.Failures", "onyxpaddle.Quota", "onyxpaddle.node.SharedLimit", "onyxpaddle.node.Budget", "onyxpaddle.node.InFlightLimit",
-        "onyxpaddle.node.Tally", "onyxpaddle.front.Attention", "onyxpaddle.membership.ListWatch",
+    private static final Set<String> DECIDERS = Set.of("onyxpaddle.RatioBalancer", "onyxpaddle.BalancerApi",
+        "onyxpaddle.FlatSettings", "onyxpaddle.LatencyModel", "onyxpaddle.FailureCounter", "onyxpaddle.Quota", "onyxpaddle.node.SharedLimit", "onyxpaddle.node.ResourceBudget", "onyxpaddle.node.InFlightLimit",
+        "onyxpaddle.node.RequestCounts", "onyxpaddle.front.StallDetector", "onyxpaddle.membership.ListWatch",
         "onyxpaddle.bgp.Fsm", "onyxpaddle.bgp.Peering", "onyxpaddle.bgp.ServiceHealth", "onyxpaddle.bgp.AnnouncePolicy", "onyxpaddle.bgp.Prefix",
         "onyxpaddle.rpc.CallTable", "onyxpaddle.rpc.ConnectionChoice",
         "onyxpaddle.distribution.ConfigurationTable", "onyxpaddle.distribution.WholeAnswerPacer", "onyxpaddle.distribution.PublisherFence",
--- a/src/test/java/onyxpaddle/ReplacementTest.java
+++ b/src/test/java/onyxpaddle/ReplacementTest.java
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
-import onyxpaddle.Balancing.*;
+import onyxpaddle.BalancerApi.*;
 import org.junit.jupiter.api.Test;
 
 /** What one process of a node tells the next, what operators take out by hand, and a limit that a calm hour leaves alone. */
@@ -44,7 +44,7 @@
         Node first = experienced();
         Node next = Node.plain();
         next.now = first.now;
-        next.balancer.remember(first.balancer.memory(first.now));
+        next.balancer.restore(first.balancer.snapshot(first.now));
         // The list comes after what is remembered, or before: either way it is this server's.
         next.list("a", "b", "c");
         int[] shares = shares(next, "n");
@@ -59,7 +59,7 @@
         Node first = experienced();
         Node next = Node.plain();
         next.now = first.now;
-        next.balancer.remember(first.balancer.memory(first.now));
+        next.balancer.restore(first.balancer.snapshot(first.now));
         next.handle(new Membership(ListKind.ALL, List.of(next.entry("a", ServerState.READY, 0),
             next.entry("c", ServerState.READY, next.now - 20 * Node.SECOND))));
         int[] shares = shares(next, "n");
@@ -72,8 +72,8 @@
         Node next = Node.plain();
         next.now = first.now;
         next.list("a", "b", "c");
-        next.balancer.remember(first.balancer.memory(first.now));
-        assertEquals(first.balancer.memory(first.now), next.balancer.memory(first.now));
+        next.balancer.restore(first.balancer.snapshot(first.now));
+        assertEquals(first.balancer.snapshot(first.now), next.balancer.snapshot(first.now));
     }
 
     /** The list that a process is started with may be older than what the process before it was told. */
@@ -86,22 +86,22 @@
             next.now = first.now;
             if (listFirst) {
                 next.handle(old(next));
-                next.balancer.remember(first.balancer.memory(first.now));
+                next.balancer.restore(first.balancer.snapshot(first.now));
             } else {
-                next.balancer.remember(first.balancer.memory(first.now));
+                next.balancer.restore(first.balancer.snapshot(first.now));
                 next.handle(old(next));
             }
             for (int i = 0; i < 40; i++) {
                 String server = asked(next, "r" + i);
                 assertTrue(server.equals("a") || server.equals("d"), server + " gets a request, list first: " + listFirst);
             }
-            assertEquals(new Fleet(4, 2), next.balancer.fleet(next.now));
-            assertEquals(2, next.balancer.standings(next.now).stream().filter(Standing::doubted).count());
+            assertEquals(new FleetSummary(4, 2), next.balancer.fleet(next.now));
+            assertEquals(2, next.balancer.serverStatuses(next.now).stream().filter(ServerStatus::doubted).count());
             // Handed on again before discovery has spoken, it is still what the first process knew.
-            assertTrue(next.balancer.memory(next.now).servers().stream().filter(ServerMemory::leaving).count() == 2);
+            assertTrue(next.balancer.snapshot(next.now).servers().stream().filter(ServerSnapshot::leaving).count() == 2);
             // What has changed since the old list is all there is to say against it.
             next.changes(next.entry("c", ServerState.GONE, 0));
-            assertEquals(new Fleet(3, 0), next.balancer.fleet(next.now));
+            assertEquals(new FleetSummary(3, 0), next.balancer.fleet(next.now));
         }
     }
 
@@ -111,10 +111,10 @@
         Node first = Node.plain().list("a", "b");
         Node next = Node.plain();
         next.now = first.now;
-        next.handle(new Membership(ListKind.REMEMBERED, List.of(next.entry("a", ServerState.READY, 0), next.entry("b", ServerState.READY, 0))));
+        next.handle(new Membership(ListKind.CACHED, List.of(next.entry("a", ServerState.READY, 0), next.entry("b", ServerState.READY, 0))));
         next.changes(next.entry("c", ServerState.READY, 0));
-        next.balancer.remember(first.balancer.memory(first.now));
-        assertEquals(new Fleet(3, 0), next.balancer.fleet(next.now));
+        next.balancer.restore(first.balancer.snapshot(first.now));
+        assertEquals(new FleetSummary(3, 0), next.balancer.fleet(next.now));
     }
 
     @Test
@@ -125,7 +125,7 @@
         Node next = Node.plain();
         next.now = first.now;
         next.handle(old(next));
-        next.balancer.remember(first.balancer.memory(first.now));
+        next.balancer.restore(first.balancer.snapshot(first.now));
         for (int i = 0; i < 20; i++) {
             assertEquals("a", asked(next, "r" + i));
         }
@@ -135,19 +135,19 @@
     void aProcessThatKnewNoServerOrNotAllOfThemLeavesTheListAsItIs() {
         Node next = Node.plain();
         next.handle(old(next));
-        next.balancer.remember(Node.plain().balancer.memory(next.now));
-        assertEquals(new Fleet(4, 0), next.balancer.fleet(next.now));
-        Memory all = Node.plain().list("a").balancer.memory(next.now);
+        next.balancer.restore(Node.plain().balancer.snapshot(next.now));
+        assertEquals(new FleetSummary(4, 0), next.balancer.fleet(next.now));
+        BalancerSnapshot all = Node.plain().list("a").balancer.snapshot(next.now);
         Node third = Node.plain();
         third.handle(old(third));
-        third.balancer.remember(new Memory(all.servers(), false, all.classes(), all.takenOut(), all.admitLimit(), all.metLate(),
+        third.balancer.restore(new BalancerSnapshot(all.servers(), false, all.classes(), all.takenOut(), all.admitLimit(), all.metLate(),
             all.retriesSaved(), all.usualRank(), all.usualWorth()));
-        assertEquals(new Fleet(4, 0), third.balancer.fleet(third.now));
+        assertEquals(new FleetSummary(4, 0), third.balancer.fleet(third.now));
     }
 
     /** a to d, all ready. */
     private static Membership old(Node node) {
-        return new Membership(ListKind.REMEMBERED, java.util.stream.Stream.of("a", "b", "c", "d")
+        return new Membership(ListKind.CACHED, java.util.stream.Stream.of("a", "b", "c", "d")
             .map(id -> node.entry(id, ServerState.READY, 0)).toList());
     }
 
@@ -159,7 +159,7 @@
         node.changes(node.entry("a", ServerState.DRAINING, 0));
         node.changes(node.entry("a", ServerState.READY, 0));
         assertEquals(0, shares(node, "x")[0]);
-        assertEquals(new Fleet(2, 1), node.balancer.fleet(node.now));
+        assertEquals(new FleetSummary(2, 1), node.balancer.fleet(node.now));
         node.handle(new TakenOut("a", false));
         assertTrue(shares(node, "y")[0] > 10);
     }
@@ -171,7 +171,7 @@
         for (int i = 1; i < names.length; i++) {
             node.handle(new TakenOut(names[i], true));
         }
-        assertEquals(new Fleet(1_100, 1_099), node.balancer.fleet(node.now));
+        assertEquals(new FleetSummary(1_100, 1_099), node.balancer.fleet(node.now));
         assertEquals("s0", sent(node.arrive("r", "write")));
     }
 
--- a/src/test/java/onyxpaddle/SampledDrawTest.java
+++ b/src/test/java/onyxpaddle/SampledDrawTest.java
@@ -12,7 +12,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.stream.LongStream;
-import onyxpaddle.Balancing.*;
+import onyxpaddle.BalancerApi.*;
 import org.junit.jupiter.api.Test;
 
 /** A node that draws from a sample: nothing that the whole list gave may be lost by it. */
--- a/src/test/java/onyxpaddle/SettingsTest.java
+++ b/src/test/java/onyxpaddle/SettingsTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
-import onyxpaddle.Balancing.*;
+import onyxpaddle.BalancerApi.*;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.function.Executable;
 
--- a/src/test/java/onyxpaddle/SourceLimitsTest.java
+++ b/src/test/java/onyxpaddle/SourceLimitsTest.java
@@ -13,7 +13,7 @@
     @Test
     void moduleStaysShortEnoughToPrint() throws IOException {
         List<String> lines = new ArrayList<>();
-        for (String part : List.of("RatioBalancer", "ClassUse", "CarriedRate", "Failures", "Quota")) {
+        for (String part : List.of("RatioBalancer", "LatencyModel", "CallRate", "FailureCounter", "Quota")) {
             Path file = Path.of("src/main/java/onyxpaddle/" + part + ".java");
             assertTrue(Files.readString(Path.of("deploy/balancer.toml")).contains("\"" + file + "\""), file + " decides");
             lines.addAll(Files.readAllLines(file));
--- a/src/test/java/onyxpaddle/SpanTest.java
+++ b/src/test/java/onyxpaddle/SpanTest.java
@@ -9,7 +9,7 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import onyxpaddle.Balancing.*;
+import onyxpaddle.BalancerApi.*;
 import org.junit.jupiter.api.Test;
 
 class SpanTest {
--- a/src/test/java/onyxpaddle/drain/NodeStateTest.java
+++ b/src/test/java/onyxpaddle/drain/NodeStateTest.java
@@ -15,12 +15,12 @@
 
     @Test
     void servingKeepsEverything() {
-        assertTrue(state.wantsWork());
+        assertTrue(state.acceptsWork());
         assertTrue(state.keepsConnections(9_000 * MS));
         assertFalse(state.closesIdle(0, 9_000 * MS));
-        assertFalse(state.turnsAway(9_000 * MS));
+        assertFalse(state.rejectsIncomplete(9_000 * MS));
         assertFalse(state.closesListener(0, 9_000 * MS));
-        assertTrue(state.outlasts(PATIENCE, 9_000 * MS));
+        assertTrue(state.canAnswerBeforeExit(PATIENCE, 9_000 * MS));
         assertFalse(state.over(9_000 * MS));
     }
 
@@ -28,25 +28,25 @@
     @Test
     void whoWaitsForLongerThanTheEndDoesIsTakenAsLongAsTheLongestThatItWaitsFor() {
         state.end(0, false, PATIENCE, 0);
-        assertTrue(state.outlasts(PATIENCE + 1_200 * MS, 550 * MS));
-        assertFalse(state.outlasts(PATIENCE + 1_200 * MS, 551 * MS));
-        assertFalse(state.outlasts(PATIENCE, 551 * MS));
-        assertTrue(state.outlasts(400 * MS, 3_150 * MS));
+        assertTrue(state.canAnswerBeforeExit(PATIENCE + 1_200 * MS, 550 * MS));
+        assertFalse(state.canAnswerBeforeExit(PATIENCE + 1_200 * MS, 551 * MS));
+        assertFalse(state.canAnswerBeforeExit(PATIENCE, 551 * MS));
+        assertTrue(state.canAnswerBeforeExit(400 * MS, 3_150 * MS));
     }
 
     @Test
     void drainLetsGoInStepsAndIsEmptyByFourSeconds() {
         assertTrue(state.drain(0));
-        assertFalse(state.wantsWork());
+        assertFalse(state.acceptsWork());
         assertTrue(state.keepsConnections(399 * MS));
         assertFalse(state.keepsConnections(400 * MS));
         assertFalse(state.closesIdle(0, 999 * MS));
         assertTrue(state.closesIdle(0, 1_000 * MS));
         assertFalse(state.closesIdle(950 * MS, 1_000 * MS), "one that has just come is left time to ask");
-        assertFalse(state.turnsAway(1_999 * MS));
-        assertTrue(state.turnsAway(2_000 * MS));
+        assertFalse(state.rejectsIncomplete(1_999 * MS));
+        assertTrue(state.rejectsIncomplete(2_000 * MS));
         assertFalse(state.closesListener(0, 60_000 * MS), "so that an undrain has nothing to bind");
-        assertTrue(state.outlasts(PATIENCE, 60_000 * MS));
+        assertTrue(state.canAnswerBeforeExit(PATIENCE, 60_000 * MS));
         assertFalse(state.over(60_000 * MS));
     }
 
@@ -54,7 +54,7 @@
     void undrainServesAtOnceAndADrainStartsAnewAfterIt() {
         state.drain(0);
         assertTrue(state.undrain(1_500 * MS));
-        assertTrue(state.wantsWork());
+        assertTrue(state.acceptsWork());
         assertFalse(state.closesIdle(0, 1_600 * MS));
         assertTrue(state.undrain(1_600 * MS), "a second one changes nothing");
         state.drain(10_000 * MS);
@@ -67,15 +67,15 @@
     void endKeepsConnectionsToTheLastAndThenGoes() {
         state.end(0, false, PATIENCE, 0);
         assertEquals(Phase.ENDING, state.phase());
-        assertFalse(state.wantsWork());
+        assertFalse(state.acceptsWork());
         assertTrue(state.keepsConnections(3_200 * MS));
         assertFalse(state.keepsConnections(3_300 * MS));
         assertFalse(state.closesIdle(0, 3_200 * MS));
         assertTrue(state.closesIdle(0, 3_300 * MS));
-        assertTrue(state.outlasts(PATIENCE, 550 * MS));
-        assertFalse(state.outlasts(PATIENCE, 551 * MS));
-        assertFalse(state.turnsAway(3_250 * MS), "what comes whole is answered as long as there is time");
-        assertTrue(state.turnsAway(3_251 * MS), "and no half of a request is there as the process goes");
+        assertTrue(state.canAnswerBeforeExit(PATIENCE, 550 * MS));
+        assertFalse(state.canAnswerBeforeExit(PATIENCE, 551 * MS));
+        assertFalse(state.rejectsIncomplete(3_250 * MS), "what comes whole is answered as long as there is time");
+        assertTrue(state.rejectsIncomplete(3_251 * MS), "and no half of a request is there as the process goes");
         assertFalse(state.closesListener(0, 499 * MS));
         assertFalse(state.closesListener(400 * MS, 600 * MS), "one came just now, and more may");
         assertTrue(state.closesListener(400 * MS, 650 * MS));
@@ -97,22 +97,22 @@
         assertFalse(shorter.closesListener(400 * MS, 499 * MS), "connections go on coming for 0.4 s");
         assertTrue(shorter.closesListener(500 * MS, 551 * MS));
         assertFalse(shorter.closesIdle(390 * MS, 400 * MS));
-        assertTrue(shorter.outlasts(50 * MS, 550 * MS));
+        assertTrue(shorter.canAnswerBeforeExit(50 * MS, 550 * MS));
     }
 
     /** A node short of processor time hears late, while SIGKILL counts from the signal: it takes no more than it can answer by then. */
     @Test
     void whatWasHeardLateEndsByWhenItWasTold() {
         state.end(0, false, PATIENCE, 400 * MS);
-        assertTrue(state.outlasts(PATIENCE, 150 * MS));
-        assertFalse(state.outlasts(PATIENCE, 151 * MS));
+        assertTrue(state.canAnswerBeforeExit(PATIENCE, 150 * MS));
+        assertFalse(state.canAnswerBeforeExit(PATIENCE, 151 * MS));
         assertFalse(state.over(3_149 * MS));
         assertTrue(state.over(3_150 * MS));
         assertFalse(state.closesListener(0, 499 * MS), "connections go on coming all the same");
         NodeState far = new NodeState();
         far.end(0, false, 300 * MS, 2_000 * MS);
         assertFalse(far.closesListener(0, 499 * MS));
-        assertFalse(far.outlasts(0, 0), "nothing is taken that nobody answers");
+        assertFalse(far.canAnswerBeforeExit(0, 0), "nothing is taken that nobody answers");
     }
 
     @Test
@@ -123,7 +123,7 @@
         assertFalse(state.keepsConnections(0));
         assertFalse(state.closesIdle(-500 * MS, 400 * MS));
         assertTrue(state.closesIdle(-500 * MS, 500 * MS));
-        assertTrue(state.outlasts(PATIENCE, 550 * MS));
+        assertTrue(state.canAnswerBeforeExit(PATIENCE, 550 * MS));
         assertTrue(state.over(3_550 * MS));
     }
 
--- a/src/test/java/onyxpaddle/front/LooksTest.java
+++ b/src/test/java/onyxpaddle/front/PollTimesTest.java
@@ -6,9 +6,9 @@
 import org.junit.jupiter.api.Test;
 
 /** What a loop reads came since it looked before, and no request's time begins when the loop gets to it. */
-class LooksTest {
+class PollTimesTest {
     private static final long MS = 1_000_000L;
-    private final Looks looks = new Looks();
+    private final PollTimes looks = new PollTimes();
 
     private void turn(long begins, long looked) {
         looks.begins(begins * MS);
@@ -18,7 +18,7 @@
 
     @Test
     void beforeTheFirstLookAllComesNow() {
-        assertEquals(7 * MS, looks.cameSince(7 * MS));
+        assertEquals(7 * MS, looks.earliestArrival(7 * MS));
         assertEquals(0, looks.lag());
     }
 
@@ -26,16 +26,16 @@
     void whatIsThereAfterABusyTurnMayHaveComeAtItsBegin() {
         turn(100, 100);
         turn(600, 600);
-        assertEquals(100 * MS, looks.cameSince(650 * MS));
+        assertEquals(100 * MS, looks.earliestArrival(650 * MS));
         turn(700, 700);
-        assertEquals(600 * MS, looks.cameSince(700 * MS));
+        assertEquals(600 * MS, looks.earliestArrival(700 * MS));
     }
 
     @Test
     void whatALoopWaitedForHasJustCome() {
         turn(100, 100);
         turn(600, 900);
-        assertEquals(900 * MS, looks.cameSince(950 * MS));
+        assertEquals(900 * MS, looks.earliestArrival(950 * MS));
     }
 
     /** Stopped while it looked, as by SIGSTOP: it should have woken for what was due. What it finds may have come in the turn before. */
@@ -44,7 +44,7 @@
         turn(100, 100);
         turn(110, 1_400);
         assertEquals(790 * MS, looks.lag());
-        assertEquals(100 * MS, looks.cameSince(1_400 * MS));
+        assertEquals(100 * MS, looks.earliestArrival(1_400 * MS));
     }
 
     /** On a core that gives it little: the look itself takes 7 ms, and what it finds came in the turn before, which took 300. */
@@ -54,7 +54,7 @@
         looks.begins(400 * MS);
         looks.waits(50 * MS);
         looks.looked(407 * MS);
-        assertEquals(100 * MS, looks.cameSince(410 * MS));
+        assertEquals(100 * MS, looks.earliestArrival(410 * MS));
     }
 
     /** The same where something is due at once, so that it does not wait at all, or is due before the look is done. */
@@ -63,11 +63,11 @@
         turn(100, 100);
         looks.begins(400 * MS);
         looks.looked(407 * MS);
-        assertEquals(100 * MS, looks.cameSince(410 * MS));
+        assertEquals(100 * MS, looks.earliestArrival(410 * MS));
         looks.begins(700 * MS);
         looks.waits(2 * MS);
         looks.looked(709 * MS);
-        assertEquals(407 * MS, looks.cameSince(710 * MS));
+        assertEquals(407 * MS, looks.earliestArrival(710 * MS));
     }
 
     @Test
--- a/src/test/java/onyxpaddle/front/AttentionTest.java
+++ b/src/test/java/onyxpaddle/front/StallDetectorTest.java
@@ -4,12 +4,12 @@
 
 import org.junit.jupiter.api.Test;
 
-class AttentionTest {
+class StallDetectorTest {
     private static final long MS = 1_000_000L;
 
     @Test
     void whatIsBeyondThePlanAndTheUsualIsTimeNotListened() {
-        Attention attention = new Attention(100 * MS);
+        StallDetector attention = new StallDetector(100 * MS);
         assertEquals(0, attention.looks(7_000 * MS), "there was no plan before the first look");
         assertEquals(0, attention.looks(7_100 * MS));
         assertEquals(0, attention.looks(7_250 * MS), "late by what is usual");
--- a/src/test/java/onyxpaddle/handover/HandoverMessageTest.java
+++ b/src/test/java/onyxpaddle/handover/HandoverMessageTest.java
@@ -13,26 +13,26 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Random;
-import onyxpaddle.Balancing.ClassMemory;
-import onyxpaddle.Balancing.Memory;
-import onyxpaddle.Balancing.ServerMemory;
+import onyxpaddle.BalancerApi.ClassSnapshot;
+import onyxpaddle.BalancerApi.BalancerSnapshot;
+import onyxpaddle.BalancerApi.ServerSnapshot;
 import org.junit.jupiter.api.Test;
 
 /** What goes from process to process comes whole or not at all. */
 class HandoverMessageTest {
-    private static Map<String, Memory> memory(int servers) {
-        Map<String, Memory> pools = new LinkedHashMap<>();
+    private static Map<String, BalancerSnapshot> memory(int servers) {
+        Map<String, BalancerSnapshot> pools = new LinkedHashMap<>();
         pools.put("app", known(servers));
         pools.put("", known(1));
         return pools;
     }
 
-    private static Memory known(int servers) {
-        List<ServerMemory> list = new ArrayList<>();
+    private static BalancerSnapshot known(int servers) {
+        List<ServerSnapshot> list = new ArrayList<>();
         for (int i = 0; i < servers; i++) {
-            list.add(new ServerMemory("s-" + i, i, i % 2 == 1, List.of(0.5, 1.25, 3.0), 1_700_000_000_000_000_000L, 0.25, 1.5, 12, 0, 0, 0.75));
+            list.add(new ServerSnapshot("s-" + i, i, i % 2 == 1, List.of(0.5, 1.25, 3.0), 1_700_000_000_000_000_000L, 0.25, 1.5, 12, 0, 0, 0.75));
         }
-        return new Memory(list, true, List.of(new ClassMemory("book", 3e7, 1e6, 0.5, 0.25, -0.5, 77)), List.of("s-1", "s-9"), 42.5, true, 3.25, 1e-7, 3);
+        return new BalancerSnapshot(list, true, List.of(new ClassSnapshot("book", 3e7, 1e6, 0.5, 0.25, -0.5, 77)), List.of("s-1", "s-9"), 42.5, true, 3.25, 1e-7, 3);
     }
 
     @Test
@@ -44,16 +44,16 @@
     /** More than a thousand servers, each with a full window and a name at its longest, are none too many. */
     @Test
     void everyServerOfALargeFleetIsTold() throws IOException {
-        List<ServerMemory> servers = new ArrayList<>();
+        List<ServerSnapshot> servers = new ArrayList<>();
         List<String> out = new ArrayList<>();
         for (int i = 0; i < 1_100; i++) {
             String name = "s%04d".formatted(i) + "x".repeat(1_000);
             out.add(name);
-            servers.add(new ServerMemory(name, i, false, java.util.Collections.nCopies(20, 0.123456789 + i), 1_700_000_000_000_000_000L, 1.0 / 3, 1.0 / 7,
+            servers.add(new ServerSnapshot(name, i, false, java.util.Collections.nCopies(20, 0.123456789 + i), 1_700_000_000_000_000_000L, 1.0 / 3, 1.0 / 7,
                 1_700_000_000_000_000_000L, 1.0 / 9, 1_700_000_000_000_000_000L, 1.0 / 11));
         }
-        Memory sent = new Memory(servers, true, List.of(), out, 42.5, true, 3.25, 1e-7, 3);
-        Memory read = HandoverMessage.read(HandoverMessage.write(Map.of("", sent))).get("");
+        BalancerSnapshot sent = new BalancerSnapshot(servers, true, List.of(), out, 42.5, true, 3.25, 1e-7, 3);
+        BalancerSnapshot read = HandoverMessage.read(HandoverMessage.write(Map.of("", sent))).get("");
         assertTrue(read.whole());
         assertEquals(1_100, read.servers().size());
         assertEquals(out, read.takenOut());
@@ -63,7 +63,7 @@
     void whatWouldBeTooLongLeavesServersOut() throws IOException {
         byte[] message = HandoverMessage.write(memory(200_000));
         assertTrue(message.length <= HandoverMessage.HEAD + HandoverMessage.LARGEST);
-        Memory read = HandoverMessage.read(message).get("app");
+        BalancerSnapshot read = HandoverMessage.read(message).get("app");
         assertTrue(read.servers().size() > 500);
         assertFalse(read.whole(), "that some are missing is told");
         assertTrue(HandoverMessage.read(message).get("").whole());
@@ -71,7 +71,7 @@
 
     @Test
     void morePoolsThanMayBeAreNotTold() {
-        Map<String, Memory> pools = new LinkedHashMap<>();
+        Map<String, BalancerSnapshot> pools = new LinkedHashMap<>();
         for (int i = 0; i < 65; i++) {
             pools.put("p" + i, known(0));
         }
@@ -120,7 +120,7 @@
             byte[] message = ByteBuffer.allocate(16 + payload.length).putInt(HandoverMessage.MAGIC)
                 .putInt(HandoverMessage.VERSION).putInt(payload.length).putInt((int) crc.getValue()).put(payload).array();
             try {
-                Memory read = HandoverMessage.read(message).getOrDefault("app", known(0));
+                BalancerSnapshot read = HandoverMessage.read(message).getOrDefault("app", known(0));
                 assertTrue(read.admitLimit() >= 1 && read.servers().size() <= 1);
             } catch (IOException e) {
                 assertTrue(e.getMessage() != null);
--- a/src/test/java/onyxpaddle/http/FrontRig.java
+++ b/src/test/java/onyxpaddle/http/HttpFrontHarness.java
@@ -26,16 +26,16 @@
 import java.util.concurrent.TimeUnit;
 import onyxpaddle.drain.NodeState;
 import onyxpaddle.front.ListeningFront.Surroundings;
-import onyxpaddle.node.Budget;
+import onyxpaddle.node.ResourceBudget;
 import onyxpaddle.node.Clock;
-import onyxpaddle.node.Sockets;
+import onyxpaddle.node.SocketBuffers;
 
 /**
  * An HTTP front with real connections whose clock and whose periodic tasks are the test's: it decides when the front looks at its
  * connections and when the end takes a step, and so what has come to a socket by then. Requests are questions for readiness, which
  * the front answers by itself.
  */
-final class FrontRig implements AutoCloseable {
+final class HttpFrontHarness implements AutoCloseable {
     static final String READY = "GET /ready HTTP/1.1\r\nHost: node\r\n\r\n";
     static final long MILLI = 1_000_000L;
     static final long LONGEST_IDLE = 60_000 * MILLI;
@@ -57,8 +57,8 @@
     private volatile long now = 1_700_000_000_000L * MILLI;
     private volatile boolean ended;
 
-    FrontRig() throws Exception {
-        EventLoop captured = (EventLoop) Proxy.newProxyInstance(FrontRig.class.getClassLoader(), new Class<?>[] {EventLoop.class},
+    HttpFrontHarness() throws Exception {
+        EventLoop captured = (EventLoop) Proxy.newProxyInstance(HttpFrontHarness.class.getClassLoader(), new Class<?>[] {EventLoop.class},
             (proxy, method, arguments) -> {
                 if (method.getName().equals("scheduleWithFixedDelay")) {
                     periodic.add((Runnable) arguments[0]);
@@ -79,7 +79,7 @@
                 return now;
             }
         };
-        front = new HttpFront(new Surroundings(captured, Sockets.allocator(), clock, new Budget(DESCRIPTORS, HEAP), state),
+        front = new HttpFront(new Surroundings(captured, SocketBuffers.allocator(), clock, new ResourceBudget(DESCRIPTORS, HEAP), state),
             new ReadinessOnly(), () -> true);
         front.listen(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0), false).sync();
         listener = channels.take();
@@ -92,32 +92,32 @@
     /** Reads no request but the question for readiness. */
     private static final class ReadinessOnly implements RequestDialect {
         @Override
-        public Taken read(HttpRequest request, InetSocketAddress caller) throws MalformedException {
-            throw new MalformedException(HttpResponseStatus.NOT_FOUND);
+        public RoutedRequest read(HttpRequest request, InetSocketAddress caller) throws RequestRejectedException {
+            throw new RequestRejectedException(HttpResponseStatus.NOT_FOUND);
         }
 
         @Override
-        public boolean asksReadiness(HttpRequest request) {
+        public boolean isReadinessCheck(HttpRequest request) {
             return request.uri().equals("/ready");
         }
 
         @Override
-        public long longestPatience() {
+        public long maxCallerTimeout() {
             return PATIENCE;
         }
 
         @Override
-        public long longestSilence() {
+        public long firstRequestTimeout() {
             return LONGEST_IDLE;
         }
 
         @Override
-        public long longestIdle() {
+        public long idleTimeout() {
             return LONGEST_IDLE;
         }
 
         @Override
-        public String ownAnswer(HttpResponseStatus status, long retryAfter, HttpHeaders headers) {
+        public String localAnswer(HttpResponseStatus status, long retryAfter, HttpHeaders headers) {
             return "";
         }
     }
--- a/src/test/java/onyxpaddle/http/ReadPaceTest.java
+++ b/src/test/java/onyxpaddle/http/ReadThrottleTest.java
@@ -8,9 +8,9 @@
 import org.junit.jupiter.api.Test;
 
 /** Small pieces are left to gather, and what has no room is not read, whichever of the two ends first. */
-class ReadPaceTest {
+class ReadThrottleTest {
     private final EmbeddedChannel channel = new EmbeddedChannel();
-    private final ReadPace pace = new ReadPace(channel);
+    private final ReadThrottle pace = new ReadThrottle(channel);
 
     private void pieces(int count, int bytes) {
         for (int i = 0; i < count; i++) {
@@ -20,7 +20,7 @@
     }
 
     private void moment() {
-        channel.advanceTimeBy(ReadPace.GATHER_MS, TimeUnit.MILLISECONDS);
+        channel.advanceTimeBy(ReadThrottle.GATHER_MS, TimeUnit.MILLISECONDS);
         channel.runScheduledPendingTasks();
     }
 
@@ -31,7 +31,7 @@
     @Test
     void afterAFewPiecesTheNextAreLeftToGather() {
         channel.freezeTime();
-        pieces(ReadPace.MANY_PIECES - 1, 50);
+        pieces(ReadThrottle.MANY_PIECES - 1, 50);
         assertTrue(reads());
         pieces(1, 50);
         assertFalse(reads());
@@ -45,7 +45,7 @@
     void largeReadsAndEndsAreNotWaitedFor() {
         pieces(20, 16 * 1024);
         assertTrue(reads());
-        pieces(ReadPace.MANY_PIECES - 1, 50);
+        pieces(ReadThrottle.MANY_PIECES - 1, 50);
         pace.readComplete(false);
         pieces(1, 50);
         assertTrue(reads(), "an answer that ended begins the count anew");
@@ -54,7 +54,7 @@
     @Test
     void pauseOutlastsTheMomentAndResumeEndsBoth() {
         channel.freezeTime();
-        pieces(ReadPace.MANY_PIECES, 50);
+        pieces(ReadThrottle.MANY_PIECES, 50);
         pace.pause();
         moment();
         assertFalse(reads(), "there is no room yet");
--- a/src/test/java/onyxpaddle/http/LastLookTest.java
+++ b/src/test/java/onyxpaddle/http/RequestAtCloseTest.java
@@ -7,7 +7,7 @@
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
 import java.io.InputStream;
-import onyxpaddle.http.FrontRig.Client;
+import onyxpaddle.http.HttpFrontHarness.Client;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -19,7 +19,7 @@
  * the client is not cut. The loop is held in one task from before the client writes until the front has decided, so the request is in
  * the socket and unread whenever the front looks.
  */
-class LastLookTest {
+class RequestAtCloseTest {
     /** Just over an idle second, as an emptied node, or one with a successor, leaves them; under any limit on unread answers. */
     private static final long IDLE_GOES_MS = 1_100;
     /** The last connection came long enough before for the listener to close. */
@@ -27,14 +27,14 @@
     /** Beyond the longest that a caller waits and what the end adds to it, and within the time that is left for last words. */
     private static final long END_MS = 1_600;
     private static final int PIECE = 16 * 1024;
-    private FrontRig rig;
+    private HttpFrontHarness rig;
 
     /** Why a connection between requests is closed. */
     private enum Reason { IDLE, DRAINING, ENDING, REPLACED }
 
     @BeforeEach
     void start() throws Exception {
-        rig = new FrontRig();
+        rig = new HttpFrontHarness();
     }
 
     @AfterEach
@@ -45,13 +45,13 @@
     /** The state changes, and time passes until such a connection goes. */
     private void becomesDue(Reason reason) throws Exception {
         switch (reason) {
-            case IDLE -> rig.pass(FrontRig.LONGEST_IDLE / FrontRig.MILLI + 1);
+            case IDLE -> rig.pass(HttpFrontHarness.LONGEST_IDLE / HttpFrontHarness.MILLI + 1);
             case DRAINING -> {
                 assertTrue(rig.state.drain(rig.now()));
                 rig.pass(IDLE_GOES_MS);
             }
             case ENDING, REPLACED -> {
-                rig.state.end(rig.now(), reason == Reason.REPLACED, FrontRig.PATIENCE, 0);
+                rig.state.end(rig.now(), reason == Reason.REPLACED, HttpFrontHarness.PATIENCE, 0);
                 rig.pass(END_MS);
             }
         }
@@ -61,10 +61,10 @@
     @EnumSource
     void connectionThatGoesWithARequestUnreadIsNotClosed(Reason reason) throws Exception {
         try (Client client = rig.client()) {
-            assertEquals(200, client.say(FrontRig.READY).hear());
+            assertEquals(200, client.say(HttpFrontHarness.READY).hear());
             becomesDue(reason);
             rig.onLoop(() -> {
-                client.say(FrontRig.READY);
+                client.say(HttpFrontHarness.READY);
                 rig.sweep();
                 return null;
             });
@@ -77,7 +77,7 @@
     @EnumSource
     void connectionThatGoesWithNothingUnreadIsClosed(Reason reason) throws Exception {
         try (Client client = rig.client()) {
-            assertEquals(200, client.say(FrontRig.READY).hear());
+            assertEquals(200, client.say(HttpFrontHarness.READY).hear());
             becomesDue(reason);
             rig.onLoop(() -> {
                 rig.sweep();
@@ -91,15 +91,15 @@
     @Test
     void requestThatIsUnreadAtTheLastStepOfTheEndIsAnswered() throws Exception {
         try (Client client = rig.client()) {
-            assertEquals(200, client.say(FrontRig.READY).hear());
-            rig.state.end(rig.now(), false, FrontRig.PATIENCE, 0);
+            assertEquals(200, client.say(HttpFrontHarness.READY).hear());
+            rig.state.end(rig.now(), false, HttpFrontHarness.PATIENCE, 0);
             rig.end();
             rig.pass(LISTENER_GOES_MS);
             endStep();
             rig.awaitListenerClosed();
             rig.pass(END_MS - LISTENER_GOES_MS);
             rig.onLoop(() -> {
-                client.say(FrontRig.READY);
+                client.say(HttpFrontHarness.READY);
                 rig.endStep();
                 return null;
             });
@@ -123,10 +123,10 @@
     @EnumSource(names = {"DRAINING", "ENDING", "REPLACED"})
     void connectionThatGoesWithAnAnswerUnsentIsNotClosed(Reason reason) throws Exception {
         try (Client client = rig.client()) {
-            assertEquals(200, client.say(FrontRig.READY).hear());
+            assertEquals(200, client.say(HttpFrontHarness.READY).hear());
             long filled = rig.onLoop(() -> fill(client.channel));
             long before = rig.onLoop(() -> unsent(client.channel));
-            client.say(FrontRig.READY);
+            client.say(HttpFrontHarness.READY);
             rig.await(() -> unsent(client.channel) > before);
             becomesDue(reason);
             rig.onLoop(() -> {
--- a/src/test/java/onyxpaddle/http/UnreadBytesAtCloseTest.java
+++ b/src/test/java/onyxpaddle/http/UnreadBytesAtCloseTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import onyxpaddle.http.FrontRig.Client;
+import onyxpaddle.http.HttpFrontHarness.Client;
 import org.junit.jupiter.api.Test;
 
 /** A client that sends on after its last answer: the node takes in a bounded part, and leaves it its time to read the answer. */
@@ -16,7 +16,7 @@
 
     @Test
     void clientThatSendsOnAfterItsLastAnswerIsReadNoFurtherAndNotCutOff() throws Exception {
-        try (FrontRig rig = new FrontRig(); Client client = rig.client()) {
+        try (HttpFrontHarness rig = new HttpFrontHarness(); Client client = rig.client()) {
             assertEquals(200, client.say(LAST).hear());
             client.socket.getOutputStream().write(new byte[BEYOND]);
             rig.await(() -> !client.channel.config().isAutoRead());
--- a/src/test/java/onyxpaddle/membership/DiscoveryReturnTest.java
+++ b/src/test/java/onyxpaddle/membership/DiscoveryReturnTest.java
@@ -7,7 +7,7 @@
 import java.util.PriorityQueue;
 import java.util.Random;
 import java.util.SplittableRandom;
-import onyxpaddle.Balancing.*;
+import onyxpaddle.BalancerApi.*;
 import onyxpaddle.RatioBalancer;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -63,7 +63,7 @@
                 new Rules(0.3, 5 * SECOND, 3, 2 * SECOND, 2 * SECOND, 0, (long) (askEvery * SECOND))), seed);
             // It has watched for a while, and its watch is out.
             watch.judge(true, 7, false);
-            tell(new Membership(ListKind.REMEMBERED, List.of()));
+            tell(new Membership(ListKind.CACHED, List.of()));
             tell(new Membership(ListKind.CHANGES, List.of()));
             at(now + faults.nextLong(2 * SECOND), this::call);
         }
--- a/src/test/java/onyxpaddle/membership/ListFileTest.java
+++ b/src/test/java/onyxpaddle/membership/ListFileTest.java
@@ -8,7 +8,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Optional;
-import onyxpaddle.node.Roster;
+import onyxpaddle.node.ServerList;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -23,11 +23,11 @@
     private Runnable whileReading = () -> { };
 
     /** Its lists are versions in digits; all else is at fault. */
-    private Optional<Roster> read(Path path) {
+    private Optional<ServerList> read(Path path) {
         try {
             String text = Files.readString(path);
             whileReading.run();
-            return text.matches("[0-9]+\n") ? Optional.of(new Roster(Long.parseLong(text.trim()), true, List.of()))
+            return text.matches("[0-9]+\n") ? Optional.of(new ServerList(Long.parseLong(text.trim()), true, List.of()))
                 : Optional.empty();
         } catch (IOException e) {
             return Optional.empty();
--- a/src/test/java/onyxpaddle/node/AttemptTest.java
+++ b/src/test/java/onyxpaddle/node/AttemptTest.java
@@ -7,13 +7,13 @@
 import io.netty.util.concurrent.DefaultPromise;
 import io.netty.util.concurrent.ImmediateEventExecutor;
 import java.util.List;
-import onyxpaddle.Balancing.Effect;
-import onyxpaddle.Balancing.KeyGroup;
-import onyxpaddle.Balancing.RequestClass;
+import onyxpaddle.BalancerApi.Effect;
+import onyxpaddle.BalancerApi.KeyGroup;
+import onyxpaddle.BalancerApi.RequestClass;
 import org.junit.jupiter.api.Test;
 
 class AttemptTest {
-    private static Attempt attempt(Tally tally) {
+    private static Attempt attempt(RequestCounts tally) {
         RequestClass book = new RequestClass("book", Effect.UNSAFE, KeyGroup.ALL, 0, 0, 0, 0, 1, 0, false);
         Exchange exchange = new Exchange(new Exchange.Terms("r1", book, 1, null, 0, false), null, null, null);
         return new Attempt(exchange, 0, "s1", 0, 1, tally);
@@ -22,10 +22,10 @@
     /** A write is done once the system has its bytes; who listens to it may hear so after a reset has been read. */
     @Test
     void lastByteThatIsOutCountsBeforeAnyoneHasHeardSo() {
-        Tally tally = new Tally(List.of("book"));
+        RequestCounts tally = new RequestCounts(List.of("book"));
         Attempt attempt = attempt(tally);
         DefaultPromise<Void> write = new DefaultPromise<>(ImmediateEventExecutor.INSTANCE);
-        attempt.writing(write);
+        attempt.setLastWrite(write);
         assertFalse(attempt.written());
         write.setSuccess(null);
         assertTrue(attempt.written());
@@ -35,9 +35,9 @@
 
     @Test
     void writeThatFailedHasNotGoneOut() {
-        Attempt attempt = attempt(new Tally(List.of("book")));
+        Attempt attempt = attempt(new RequestCounts(List.of("book")));
         DefaultPromise<Void> write = new DefaultPromise<>(ImmediateEventExecutor.INSTANCE);
-        attempt.writing(write);
+        attempt.setLastWrite(write);
         write.setFailure(new java.io.IOException("reset"));
         assertFalse(attempt.written());
     }
--- a/src/test/java/onyxpaddle/node/LateLoopTest.java
+++ b/src/test/java/onyxpaddle/node/LateLoopTest.java
@@ -9,10 +9,10 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.ScheduledExecutorService;
-import onyxpaddle.Balancing.ListKind;
-import onyxpaddle.Balancing.ServerEntry;
-import onyxpaddle.Balancing.ServerState;
-import onyxpaddle.Balancing.Settings;
+import onyxpaddle.BalancerApi.ListKind;
+import onyxpaddle.BalancerApi.ServerEntry;
+import onyxpaddle.BalancerApi.ServerState;
+import onyxpaddle.BalancerApi.Settings;
 import onyxpaddle.FlatSettings;
 import onyxpaddle.RatioBalancer;
 import org.junit.jupiter.api.Test;
@@ -33,7 +33,7 @@
         public long now() {
             return now;
         }
-    }, loop, new RatioBalancer(settings, 1), settings.limits(), new Tally(List.of("book")));
+    }, loop, new RatioBalancer(settings, 1), settings.limits(), new RequestCounts(List.of("book")));
 
     private static Settings settings() {
         Map<String, String> pairs = new HashMap<>(Map.of("az", "a", "areas", "a", "quantumS", "0.002", "classes.count", "1", "classes.0.name", "book",
@@ -125,16 +125,16 @@
 
     @Test
     void agendaKeepsOrderAndForgetsWhatIsCancelled() {
-        Agenda agenda = new Agenda();
+        TimerQueue agenda = new TimerQueue();
         List<Integer> done = new ArrayList<>();
         agenda.add(20, () -> done.add(2));
         agenda.add(10, () -> done.add(0));
-        Agenda.Item cancelled = agenda.add(15, () -> done.add(9));
+        TimerQueue.Item cancelled = agenda.add(15, () -> done.add(9));
         agenda.add(10, () -> done.add(1));
         cancelled.cancel();
         assertEquals(10, agenda.next());
         assertNull(agenda.due(9));
-        for (Agenda.Item item = agenda.due(20); item != null; item = agenda.due(20)) {
+        for (TimerQueue.Item item = agenda.due(20); item != null; item = agenda.due(20)) {
             item.run();
         }
         assertEquals(List.of(0, 1, 2), done);
--- a/src/test/java/onyxpaddle/route/ProcedureTableTest.java
+++ b/src/test/java/onyxpaddle/route/ProcedureTableTest.java
@@ -84,7 +84,7 @@
         Procedure first = of("a");
         Procedure second = new Procedure("q", "in", "a", "pool", "class", null);
         Procedure elsewhere = new Procedure("r", "other", "a", "pool", "class", null);
-        assertEquals(java.util.Map.of(second, first), ProcedureTable.twice(List.of(first, second, elsewhere)));
-        assertTrue(ProcedureTable.twice(List.of(first, of("a*"))).isEmpty());
+        assertEquals(java.util.Map.of(second, first), ProcedureTable.duplicates(List.of(first, second, elsewhere)));
+        assertTrue(ProcedureTable.duplicates(List.of(first, of("a*"))).isEmpty());
     }
 }
--- a/src/test/java/onyxpaddle/route/RouteTableTest.java
+++ b/src/test/java/onyxpaddle/route/RouteTableTest.java
@@ -13,7 +13,7 @@
 import java.util.Set;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
-import onyxpaddle.route.RouteFaults.Conflict;
+import onyxpaddle.route.RouteConflicts.Conflict;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -59,14 +59,14 @@
         assertNull(table.find("h", "/ab", "GET", h -> null));
         assertNull(table.find("h", "/a", "POST", h -> null));
         assertNull(table.find(null, "/a", "GET", h -> null));
-        assertEquals("method is not GET", RouteTable.misses(table.routes().get(0), "h", "/a", "POST", h -> null));
+        assertEquals("method is not GET", RouteTable.mismatch(table.routes().get(0), "h", "/a", "POST", h -> null));
     }
 
     @ParameterizedTest
     @CsvSource({"/slots, /v2/slots, /slots/5, /v2/slots/5", "/slots, /, /slots, /", "/slots, /, /slots/5, /5",
         "/, /v2, /x, /v2/x", "/, /v2, /, /v2/", "/slots, /v2, /slots, /v2"})
     void rewriteStandsInPlaceOfThePrefix(String path, String rewrite, String asked, String expected) {
-        assertEquals(expected, route("r", null, path, Set.of(), Map.of(), rewrite).rewritten(asked));
+        assertEquals(expected, route("r", null, path, Set.of(), Map.of(), rewrite).rewrittenPath(asked));
     }
 
     @Test
@@ -92,16 +92,16 @@
         Route red = route("red", null, "/z", Set.of(), Map.of("Colour", "red"), null);
         Route blue = route("blue", null, "/z", Set.of(), Map.of("colour", "blue"), null);
         Route big = route("big", null, "/z", Set.of(), Map.of("Size", "big"), null);
-        List<Conflict> found = RouteFaults.find(List.of(a, same, get, head, red, blue, big));
+        List<Conflict> found = RouteConflicts.find(List.of(a, same, get, head, red, blue, big));
         assertEquals(List.of("same/a", "head/get", "big/red"), found.stream()
             .map(c -> c.route().name() + "/" + c.other().name()).toList());
         assertTrue(found.stream().allMatch(Conflict::ambiguous));
 
         Route all = at("all", "/x");
         Route every = route("every", null, "/x", Route.METHODS, Map.of(), null);
-        assertEquals(List.of(new Conflict(all, every, false)), RouteFaults.find(List.of(all, every)));
+        assertEquals(List.of(new Conflict(all, every, false)), RouteConflicts.find(List.of(all, every)));
         Route elsewhere = new Route("all", "out", null, "/x", Set.of(), Map.of(), "p", "c", null);
-        assertEquals(List.of(), RouteFaults.find(List.of(elsewhere, every)));
+        assertEquals(List.of(), RouteConflicts.find(List.of(elsewhere, every)));
     }
 
     /** Against the order of precedence as it is stated, one condition at a time, over random tables and requests. */
@@ -114,7 +114,7 @@
         for (int i = 0; i < 8; i++) {
             routes.add(route("r" + i, hosts[random.nextInt(4)], paths[random.nextInt(4)],
                 random.nextBoolean() ? Set.of() : Set.of("GET"), random.nextBoolean() ? Map.of() : Map.of("h", "1"), null));
-            if (!RouteFaults.find(routes).stream().allMatch(c -> !c.ambiguous())) {
+            if (!RouteConflicts.find(routes).stream().allMatch(c -> !c.ambiguous())) {
                 routes.remove(routes.size() - 1);
             }
         }
@@ -125,7 +125,7 @@
         String header = random.nextBoolean() ? "1" : null;
         Route best = null;
         for (Route r : routes) {
-            if (RouteTable.misses(r, host, path, method, h -> header) == null && (best == null || rank(r) > rank(best))) {
+            if (RouteTable.mismatch(r, host, path, method, h -> header) == null && (best == null || rank(r) > rank(best))) {
                 best = r;
             }
         }
--- a/src/test/java/onyxpaddle/scale/ListTableTest.java
+++ b/src/test/java/onyxpaddle/scale/ListTableTest.java
@@ -10,10 +10,10 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import onyxpaddle.Balancing.ServerEntry;
-import onyxpaddle.Balancing.ServerState;
+import onyxpaddle.BalancerApi.ServerEntry;
+import onyxpaddle.BalancerApi.ServerState;
 import onyxpaddle.membership.RosterJson;
-import onyxpaddle.node.Roster;
+import onyxpaddle.node.ServerList;
 import org.junit.jupiter.api.Test;
 
 /** The stand-in's differences, read by the program's own reader, come to the same as its whole lists. */
@@ -23,7 +23,7 @@
     private static final int STEPS = 40;
 
     private static Map<String, ServerEntry> take(Map<String, ServerEntry> held, ListTable.Answer answer) throws IOException {
-        Roster roster = RosterJson.parse(ListJson.write(answer));
+        ServerList roster = RosterJson.parse(ListJson.write(answer));
         assertEquals(answer.version(), roster.seq());
         assertEquals(answer.whole(), roster.whole());
         Map<String, ServerEntry> next = roster.whole() ? new HashMap<>() : new HashMap<>(held);
--- a/src/test/java/onyxpaddle/serve/DistributedConfigurationTest.java
+++ b/src/test/java/onyxpaddle/serve/DistributedConfigurationTest.java
@@ -180,7 +180,7 @@
             used.use(older);
             used.answers(FakeReplica.ok(older.whole(new Interest("n1", "booking"), 0)));
             other.awaitCall("epoch", Long.toString(held.epoch()));
-            assertEquals(held, node.configuration.standing().inForce());
+            assertEquals(held, node.configuration.currentStatus().inForce());
             assertEquals(List.of(7), node.attempts());
             ConfigurationVersion next = other.publish("fleet/pools.app", app(8));
             node.awaitAttempts(8);
@@ -256,7 +256,7 @@
         try (HollowNode node = new HollowNode(state, List.of(gone))) {
             node.start().get(20, TimeUnit.SECONDS);
             assertEquals(List.of(5), node.attempts());
-            assertEquals(version(1, 1), node.configuration.standing().inForce());
+            assertEquals(version(1, 1), node.configuration.currentStatus().inForce());
         }
     }
 
@@ -289,7 +289,7 @@
             replica.use(table(1, 1, 5).changed(1, List.of(change("fleet/pools.app", "noise"))));
             node.start().get(20, TimeUnit.SECONDS);
             assertEquals(List.of(5), node.attempts());
-            assertEquals(version(1, 2), node.configuration.standing().refused());
+            assertEquals(version(1, 2), node.configuration.currentStatus().refused());
         }
     }
 
--- a/src/test/java/onyxpaddle/serve/DistributedNodeTest.java
+++ b/src/test/java/onyxpaddle/serve/DistributedNodeTest.java
@@ -182,7 +182,7 @@
                 assertFalse(node.loaded("onyxpaddle.serve.Sidecar").isEmpty());
                 node.end();
                 assertEquals(List.of(), node.loaded("onyxpaddle.distribution.", "onyxpaddle.serve.Distributed",
-                    "onyxpaddle.serve.ConfigurationTarget", "onyxpaddle.serve.KeptConfiguration"));
+                    "onyxpaddle.serve.ConfigurationTarget", "onyxpaddle.serve.DistributedConfigurationCache"));
             }
         }
     }
@@ -198,7 +198,7 @@
                 assertFalse(node.loaded("onyxpaddle.membership.Discovery").isEmpty());
                 node.end();
                 assertEquals(List.of(), node.loaded("onyxpaddle.distribution.", "onyxpaddle.serve.Distributed", "onyxpaddle.serve.Sidecar",
-                    "onyxpaddle.serve.ConfigurationTarget", "onyxpaddle.serve.KeptConfiguration"));
+                    "onyxpaddle.serve.ConfigurationTarget", "onyxpaddle.serve.DistributedConfigurationCache"));
             }
         }
     }
--- a/src/test/java/onyxpaddle/serve/FurtherAttemptDeadlineTest.java
+++ b/src/test/java/onyxpaddle/serve/FurtherAttemptDeadlineTest.java
@@ -128,7 +128,7 @@
                 }
             }; Loopback on = new Loopback(server); Client waits = on.client().awaitReady()) {
             List<Client> fill = new ArrayList<>();
-            int limit = (int) on.node.loop().submit(() -> on.node.pools().get("").memory()).syncUninterruptibly().getNow().admitLimit();
+            int limit = (int) on.node.loop().submit(() -> on.node.pools().get("").snapshot()).syncUninterruptibly().getNow().admitLimit();
             for (int i = 0; i < limit; i++) {
                 fill.add(on.client().say(Loopback.request("fills" + i, "book", "Content-Length: 0")));
                 server.heard();
--- a/src/test/java/onyxpaddle/serve/HollowNode.java
+++ b/src/test/java/onyxpaddle/serve/HollowNode.java
@@ -18,7 +18,7 @@
 import onyxpaddle.config.Value;
 import onyxpaddle.distribution.FakeReplica;
 import onyxpaddle.distribution.Interest;
-import onyxpaddle.node.Sockets;
+import onyxpaddle.node.SocketBuffers;
 
 /** A node without a data path: it notes the configurations that come. */
 final class HollowNode implements AutoCloseable {
@@ -53,7 +53,7 @@
     HollowNode(String base, Path state, List<InetSocketAddress> replicas) {
         configuration = new DistributedConfiguration(
             new DistributedConfiguration.Origin(new Interest("n1", "booking"), parsed(base), Path.of("."), MachineLimits.UNKNOWN, state),
-            new DistributedConfiguration.Control(group.next(), Sockets.allocator(), replicas), worker, this::apply);
+            new DistributedConfiguration.Control(group.next(), SocketBuffers.allocator(), replicas), worker, this::apply);
     }
 
     static Value parsed(String text) {
--- a/src/test/java/onyxpaddle/serve/LifecycleTest.java
+++ b/src/test/java/onyxpaddle/serve/LifecycleTest.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CountDownLatch;
 import onyxpaddle.node.Dispatcher;
-import onyxpaddle.node.Tally;
+import onyxpaddle.node.RequestCounts;
 import org.junit.jupiter.api.Test;
 
 /** When a process was told to end: by that, and not by when its loop has time for it, SIGKILL counts. */
@@ -37,18 +37,18 @@
         }
 
         @Override
-        public List<Dispatcher> leaving() {
+        public List<Dispatcher> retiredPools() {
             return List.of();
         }
 
         @Override
-        public String announced() {
+        public String bgpReport() {
             return null;
         }
 
         @Override
-        public Tally tally() {
-            return new Tally(List.of());
+        public RequestCounts tally() {
+            return new RequestCounts(List.of());
         }
 
         @Override
@@ -67,7 +67,7 @@
     void theEndCountsFromWhenItWasToldAndNotFromWhenTheLoopIsFree() throws Exception {
         Nothing work = new Nothing();
         Lifecycle life = new Lifecycle(work);
-        life.start(new Lifecycle.Terms("n0", null, null, 10));
+        life.start(new Lifecycle.Options("n0", null, null, 10));
         CountDownLatch busy = new CountDownLatch(1);
         life.loop.execute(() -> {
             try {
--- a/src/test/java/onyxpaddle/serve/NodeWithControlTest.java
+++ b/src/test/java/onyxpaddle/serve/NodeWithControlTest.java
@@ -86,9 +86,9 @@
         // Each value has its form; only the whole, which the node alone knows, makes no sense: no route leads to the pool.
         publish("service/booking/pools.other", app(1));
         Loopback.await(() -> replicas.stream().anyMatch(r -> status(r).contains("service/booking/pools.other:1:1: pools.other: no route")));
-        assertEquals(new ConfigurationVersion(1, 2), node.configuration.standing().refused());
+        assertEquals(new ConfigurationVersion(1, 2), node.configuration.currentStatus().refused());
         publish("service/booking/pools.other", "null");
-        Loopback.await(() -> node.configuration.standing().inForce().equals(new ConfigurationVersion(1, 3)));
+        Loopback.await(() -> node.configuration.currentStatus().inForce().equals(new ConfigurationVersion(1, 3)));
     }
 
     /** One replica ends and is started again, then the other: no change is missed. */
@@ -104,6 +104,6 @@
             replicas.set(i, ControlProcess.start(new ControlSettings(same, id, folder.resolve(id), 0, List.of(), List.of(at(publisher)),
                 ControlSettings.USUAL_WHOLE_RATE)));
         }
-        assertTrue(node.configuration.standing().inForce().equals(new ConfigurationVersion(1, 2)));
+        assertTrue(node.configuration.currentStatus().inForce().equals(new ConfigurationVersion(1, 2)));
     }
 }
--- a/src/test/java/onyxpaddle/serve/RefusalRecoveryTest.java
+++ b/src/test/java/onyxpaddle/serve/RefusalRecoveryTest.java
@@ -24,7 +24,7 @@
     private static final long LATE_MS = 80;
 
     private static double admitLimit(Node node) {
-        return node.loop().submit(() -> node.pools().get("").memory().admitLimit()).syncUninterruptibly().getNow();
+        return node.loop().submit(() -> node.pools().get("").snapshot().admitLimit()).syncUninterruptibly().getNow();
     }
 
     private static String booking(String id) {
--- a/src/test/java/onyxpaddle/serve/ReloadTest.java
+++ b/src/test/java/onyxpaddle/serve/ReloadTest.java
@@ -66,7 +66,7 @@
     @Test
     void theSignalRunsTheActionAndDoesNotEndTheProcess() throws Exception {
         CountDownLatch signalled = new CountDownLatch(1);
-        Hangup.runs(signalled::countDown);
+        SighupHandler.install(signalled::countDown);
         long self = ProcessHandle.current().pid();
         assertEquals(0, new ProcessBuilder("kill", "-HUP", Long.toString(self)).start().waitFor());
         assertEquals(true, signalled.await(Loopback.PATIENCE_MS, TimeUnit.MILLISECONDS));
--- a/src/test/java/onyxpaddle/serve/SharedServersTest.java
+++ b/src/test/java/onyxpaddle/serve/SharedServersTest.java
@@ -249,7 +249,7 @@
             assertNull(rig.node.change(SidecarRig.config(without)).get(RpcRig.PATIENCE_S, TimeUnit.SECONDS));
             assertTrue(caller.ask("book", text("b")).ok(), "it was connected before");
             caller.ended().get(RpcRig.PATIENCE_S, TimeUnit.SECONDS);
-            await(() -> rig.node.stillEnding() == 0);
+            await(() -> rig.node.retiringCount() == 0);
         }
     }
 }
--- a/src/test/java/onyxpaddle/serve/SidecarReloadTest.java
+++ b/src/test/java/onyxpaddle/serve/SidecarReloadTest.java
@@ -67,7 +67,7 @@
                 assertEquals(200, answer.statusCode());
                 assertEquals(1, one.runs("v" + i) + two.runs("v" + i), "a booking ran more than once, or never");
             }
-            await(() -> rig.node.stillEnding() == 0);
+            await(() -> rig.node.retiringCount() == 0);
         }
     }
 
@@ -102,10 +102,10 @@
             String other = SidecarRig.simple("", next).replace("  app:", "  other:").replace("pool: app", "pool: other");
             assertNull(rig.node.change(SidecarRig.config(other)).get(PATIENCE_S, TimeUnit.SECONDS));
             assertEquals("next POST /visits 1 bytes\n", rig.post("/visits", "y").body());
-            assertEquals(1, rig.node.stillEnding());
+            assertEquals(1, rig.node.retiringCount());
             old.held(false);
             assertEquals("200 old POST /visits 1 bytes\n", kept.hear());
-            await(() -> rig.node.stillEnding() == 0);
+            await(() -> rig.node.retiringCount() == 0);
         }
     }
 
@@ -121,7 +121,7 @@
             assertNull(rig.node.change(SidecarRig.config(other)).get(PATIENCE_S, TimeUnit.SECONDS));
             Thread.sleep(150);
             assertEquals("200 old POST /visits 4 bytes\n", half.say("late").hear());
-            await(() -> rig.node.stillEnding() == 0);
+            await(() -> rig.node.retiringCount() == 0);
         }
     }
 
@@ -156,7 +156,7 @@
             String head = Loopback.head(open.socket.getInputStream());
             assertTrue(head.startsWith("HTTP/1.1 200") && head.toLowerCase().contains("connection: close"), head);
             open.socket.close();
-            await(() -> rig.node.stillEnding() == 0);
+            await(() -> rig.node.retiringCount() == 0);
             try (ServerSocket free = new ServerSocket(port, 1, InetAddress.getByName("127.0.0.1"))) {
                 assertEquals(port, free.getLocalPort());
             }
@@ -170,7 +170,7 @@
             rig.node.reload(file);
             rig.node.reload(folder.resolve("none.yaml"));
             assertEquals("app POST /visits 1 bytes\n", rig.post("/visits", "x").body());
-            assertEquals(0, rig.node.stillEnding());
+            assertEquals(0, rig.node.retiringCount());
         }
     }
 
@@ -190,7 +190,7 @@
             for (CompletableFuture<String> change : changes) {
                 assertNull(change.get(PATIENCE_S, TimeUnit.SECONDS));
             }
-            await(() -> rig.node.stillEnding() == 0);
+            await(() -> rig.node.retiringCount() == 0);
         }
     }
 
--- a/src/test/java/onyxpaddle/serve/SitesGuardTest.java
+++ b/src/test/java/onyxpaddle/serve/SitesGuardTest.java
@@ -10,7 +10,7 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.Map;
-import onyxpaddle.Balancing.Settings;
+import onyxpaddle.BalancerApi.Settings;
 import onyxpaddle.config.Faults;
 import onyxpaddle.serve.Loopback.Client;
 import onyxpaddle.serve.Loopback.FakeDiscovery;
@@ -112,12 +112,12 @@
     void theGateIsForThisNodesClassesAndSite() throws Exception {
         try (FakeServer server = new FakeServer("s0"); FakeDiscovery discovery = new FakeDiscovery("")) {
             Settings settings = PlatformConfig.parse(Loopback.config(discovery, server).getBytes(StandardCharsets.UTF_8), Map.of()).settings();
-            assertNotNull(SitesGuard.of(files(SITES).toString(), settings, 1));
-            assertNull(SitesGuard.of(files(SITES.replace("read:", "write:")).toString(), settings, 1));
-            assertNull(SitesGuard.of(files(SITES.replace("a:", "c:")).toString(), settings, 1));
-            assertNull(SitesGuard.of(folder.resolve("none.yaml").toString(), settings, 1));
+            assertNotNull(SiteGates.of(files(SITES).toString(), settings, 1));
+            assertNull(SiteGates.of(files(SITES.replace("read:", "write:")).toString(), settings, 1));
+            assertNull(SiteGates.of(files(SITES.replace("a:", "c:")).toString(), settings, 1));
+            assertNull(SiteGates.of(folder.resolve("none.yaml").toString(), settings, 1));
             Files.writeString(folder.resolve("loss.yaml"), "version: 1\nsites: sites.yaml\nplan: plan.yaml\nconfrim: 1 s\n");
-            assertNull(SitesGuard.of(folder.resolve("loss.yaml").toString(), settings, 1));
+            assertNull(SiteGates.of(folder.resolve("loss.yaml").toString(), settings, 1));
         }
     }
 }
--- a/src/test/java/onyxpaddle/site/PlanGateTest.java
+++ b/src/test/java/onyxpaddle/site/PlanGateTest.java
@@ -9,12 +9,12 @@
 import java.util.Map;
 import java.util.Random;
 import java.util.Set;
-import onyxpaddle.Balancing.ListKind;
-import onyxpaddle.Balancing.Outcome;
-import onyxpaddle.Balancing.ServerEntry;
-import onyxpaddle.Balancing.ServerState;
-import onyxpaddle.node.Gate;
-import onyxpaddle.site.LossPlan.Case;
+import onyxpaddle.BalancerApi.ListKind;
+import onyxpaddle.BalancerApi.Outcome;
+import onyxpaddle.BalancerApi.ServerEntry;
+import onyxpaddle.BalancerApi.ServerState;
+import onyxpaddle.node.SiteGate;
+import onyxpaddle.site.FailoverPlan.Case;
 import onyxpaddle.site.SiteState.Phase;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -33,7 +33,7 @@
         return new Case(lost, Map.of("low", low, "high", high), Map.of(), null);
     }
 
-    private static final LossPlan PLAN = new LossPlan("", "f", List.of(served(Set.of(), 1, 1), served(Set.of("a"), 2 / 3.0, 1), served(Set.of("b"), 2 / 3.0, 1),
+    private static final FailoverPlan PLAN = new FailoverPlan("", "f", List.of(served(Set.of(), 1, 1), served(Set.of("a"), 2 / 3.0, 1), served(Set.of("b"), 2 / 3.0, 1),
         served(Set.of("c"), 2 / 3.0, 1), served(Set.of("b", "c"), 0.25, 3.25 / 6)));
 
     private final List<String> lines = new ArrayList<>();
@@ -41,7 +41,7 @@
     private long now = SECOND;
 
     private PlanGate gate(String own) {
-        PlanGate gate = new PlanGate(FLEET, PLAN, new Sites(own, List.of("a", "b", "c"), SiteRules.USUAL, SECOND), SECOND, 1, lines::add);
+        PlanGate gate = new PlanGate(FLEET, PLAN, new SiteMonitor(own, List.of("a", "b", "c"), SiteRules.USUAL, SECOND), SECOND, 1, lines::add);
         List<ServerEntry> all = new ArrayList<>();
         for (String site : EVEN.keySet()) {
             for (int i = 0; i < 4; i++) {
@@ -64,8 +64,8 @@
             now += (long) (-Math.log(1 - random.nextDouble()) * SECOND / (lows + highs));
             String name = random.nextDouble() < lows / (lows + highs) ? "low" : "high";
             long away = gate.refuses(now, name);
-            assertTrue(away == Gate.LET_IN || away >= SECOND / 4 && away <= SECOND, "away " + away);
-            counts.get(name)[away == Gate.LET_IN ? 0 : 1]++;
+            assertTrue(away == SiteGate.ADMITTED || away >= SECOND / 4 && away <= SECOND, "away " + away);
+            counts.get(name)[away == SiteGate.ADMITTED ? 0 : 1]++;
         }
         Map<String, Double> parts = new HashMap<>();
         counts.forEach((name, n) -> parts.put(name, (double) n[0] / Math.max(1, n[0] + n[1])));
@@ -176,14 +176,14 @@
             gate.ended(now, "b" + i % 4, Outcome.OK, MS);
             now += 20 * MS;
         }
-        assertEquals(new Gate.Site("b", "lost", true, 0), gate.standing(now).get(1));
+        assertEquals(new SiteGate.Site("b", "lost", true, 0), gate.siteStatuses(now).get(1));
         assertEquals(8 / 4.0, gate.allowed(), 1e-9);
         assertTrue(gate.operators(now, "a", true));
         assertTrue(!gate.operators(now, "c", true), "nobody would be left");
         assertTrue(!gate.operators(now, "elsewhere", true));
         assertTrue(gate.operators(now, "a", false) && gate.operators(now, "b", false));
         assertEquals(Map.of("a", 1.0, "b", 1.0, "c", 1.0), gate.shares());
-        assertEquals(List.of("returning", "returning", "sound"), gate.standing(now).stream().map(Gate.Site::phase).toList());
+        assertEquals(List.of("returning", "returning", "sound"), gate.siteStatuses(now).stream().map(SiteGate.Site::phase).toList());
     }
 
     @Test
--- a/src/test/java/onyxpaddle/site/SitesTest.java
+++ b/src/test/java/onyxpaddle/site/SiteMonitorTest.java
@@ -11,14 +11,14 @@
 import org.junit.jupiter.api.Test;
 
 /** What is told apart: a site lost, a link cut, one bad server, the own site cut off. */
-class SitesTest {
+class SiteMonitorTest {
     private static final long MS = 1_000_000L;
     private static final long SILENCE = 300 * MS;
 
     private long now = 1_000 * MS;
 
-    private Sites sites(String... names) {
-        Sites sites = new Sites("east", List.of(names), SiteRules.USUAL, SILENCE);
+    private SiteMonitor sites(String... names) {
+        SiteMonitor sites = new SiteMonitor("east", List.of(names), SiteRules.USUAL, SILENCE);
         for (String name : names) {
             sites.listed(now, name, 6);
             sites.answered(now, name, name + "1");
@@ -27,7 +27,7 @@
     }
 
     /** For two seconds calls go to all sites, a server of each in turn; those named answer. */
-    private void play(Sites sites, List<String> all, String... answering) {
+    private void play(SiteMonitor sites, List<String> all, String... answering) {
         for (int i = 0; i < 40; i++) {
             now += 50 * MS;
             for (String site : all) {
@@ -44,12 +44,12 @@
     @Test
     void aSiteThatIsLostWhileAnotherStillAnswers() {
         List<String> all = List.of("east", "north", "south");
-        Sites sites = sites("east", "north", "south");
+        SiteMonitor sites = sites("east", "north", "south");
         play(sites, all, "east", "south");
         assertEquals(Phase.LOST, sites.state("north").phase());
         assertEquals(Phase.SOUND, sites.state("south").phase());
         assertEquals(SiteState.TRICKLE, sites.state("north").share());
-        assertEquals(List.of(Phase.SUSPECTED, Phase.LOST), sites.changes().stream().map(Sites.Change::to).toList());
+        assertEquals(List.of(Phase.SUSPECTED, Phase.LOST), sites.changes().stream().map(SiteMonitor.Change::to).toList());
         assertEquals(List.of(), sites.changes());
         play(sites, all, "east", "south", "north");
         assertEquals(Phase.RETURNING, sites.state("north").phase());
@@ -63,7 +63,7 @@
     @Test
     void theOwnSiteCutOffSaysNothingOfTheOthers() {
         List<String> all = List.of("east", "north", "south");
-        Sites sites = sites("east", "north", "south");
+        SiteMonitor sites = sites("east", "north", "south");
         play(sites, all, "east");
         assertTrue(sites.ownSiteCut(now));
         assertEquals(Phase.SUSPECTED, sites.state("north").phase());
@@ -76,7 +76,7 @@
 
     @Test
     void oneBadServerIsNotASite() {
-        Sites sites = sites("east", "north", "south");
+        SiteMonitor sites = sites("east", "north", "south");
         for (int i = 0; i < 100; i++) {
             now += 50 * MS;
             sites.unreachable(now, "north", "north1");
@@ -89,7 +89,7 @@
 
     @Test
     void listsAndOperators() {
-        Sites sites = sites("east", "north");
+        SiteMonitor sites = sites("east", "north");
         sites.listed(now, "north", 0);
         assertEquals(Phase.LOST, sites.state("north").phase());
         sites.operators(now, "north", Word.HOLD);
@@ -102,6 +102,6 @@
             sites.operators(now, "north", i % 2 == 0 ? Word.HOLD : Word.RELEASE);
         }
         assertEquals(100, sites.changes().size(), "what nobody asks for is bounded");
-        assertThrows(IllegalArgumentException.class, () -> new Sites("west", List.of("east"), SiteRules.USUAL, SILENCE));
+        assertThrows(IllegalArgumentException.class, () -> new SiteMonitor("west", List.of("east"), SiteRules.USUAL, SILENCE));
     }
 }
--- a/src/test/java/onyxpaddle/siteplan/PlanFilesTest.java
+++ b/src/test/java/onyxpaddle/siteplan/PlanFilesTest.java
@@ -14,7 +14,7 @@
 import onyxpaddle.command.Lupinmount;
 import onyxpaddle.config.Faults;
 import onyxpaddle.site.Fleet;
-import onyxpaddle.site.LossPlan;
+import onyxpaddle.site.FailoverPlan;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -48,7 +48,7 @@
         assertEquals(1.8, fleet.sites().get("west").usable(), 1e-9);
         assertEquals(2, fleet.work("east"), 1e-9);
         assertEquals(1, fleet.crossing("east", "west").most());
-        assertEquals(List.of("slots", "book"), fleet.refusedFirst());
+        assertEquals(List.of("slots", "book"), fleet.refusalOrder());
         assertEquals(400, fleet.worth(), 1e-9);
     }
 
@@ -73,12 +73,12 @@
 
     @Test
     void aPlanComesBackAsItWasWritten() {
-        LossPlan plan = Planner.plan(fleet());
+        FailoverPlan plan = Planner.plan(fleet());
         Faults faults = new Faults();
-        LossPlan read = PlanFile.read("p.yaml", PlanFile.text(plan), fleet(), faults);
+        FailoverPlan read = PlanFile.read("p.yaml", PlanFile.text(plan), fleet(), faults);
         assertEquals(List.of(), faults.list());
-        for (LossPlan.Case c : plan.cases()) {
-            LossPlan.Case other = read.lost(c.lost());
+        for (FailoverPlan.Case c : plan.cases()) {
+            FailoverPlan.Case other = read.lost(c.lost());
             assertEquals(c.lost(), other.lost());
             c.served().forEach((name, part) -> assertEquals(part, other.served().get(name), 1e-5));
             c.to().forEach((from, parts) -> parts.forEach((to, part) -> assertEquals(part, other.to().get(from).get(to), 1e-5)));
--- a/src/test/java/onyxpaddle/siteplan/PlannerTest.java
+++ b/src/test/java/onyxpaddle/siteplan/PlannerTest.java
@@ -14,8 +14,8 @@
 import onyxpaddle.site.Fleet.Crossing;
 import onyxpaddle.site.Fleet.Kind;
 import onyxpaddle.site.Fleet.Site;
-import onyxpaddle.site.LossPlan;
-import onyxpaddle.site.LossPlan.Case;
+import onyxpaddle.site.FailoverPlan;
+import onyxpaddle.site.FailoverPlan.Case;
 import org.junit.jupiter.api.Test;
 
 /** What the solver finds, against a greedy choice where ways are free, and against the constraints where they are not. */
@@ -33,8 +33,8 @@
         Case c = Planner.solve(fleet(List.of(), 0), Set.of());
         assertEquals(Map.of("low", 1.0, "high", 1.0), c.served());
         assertEquals(Map.of("b", 1.0), c.to().get("b"));
-        assertEquals(0.75, c.price().use().get("b"), CLOSE);
-        assertEquals(List.of(), c.price().binds());
+        assertEquals(0.75, c.evaluation().use().get("b"), CLOSE);
+        assertEquals(List.of(), c.evaluation().binds());
     }
 
     @Test
@@ -44,8 +44,8 @@
         assertEquals(1.0, c.served().get("high"), CLOSE);
         assertEquals(2.0 / 3, c.served().get("low"), CLOSE);
         assertEquals(0.5, c.to().get("b").get("a"), CLOSE);
-        assertEquals(List.of("all that a may use", "all that c may use"), c.price().binds());
-        assertEquals(2700 + 200, c.price().worth(), 1);
+        assertEquals(List.of("all that a may use", "all that c may use"), c.evaluation().binds());
+        assertEquals(2700 + 200, c.evaluation().worth(), 1);
     }
 
     @Test
@@ -54,13 +54,13 @@
         Case one = Planner.solve(fleet, Set.of("b"));
         assertEquals(0.8, one.served().get("low"), CLOSE, "its floor");
         assertEquals((8 - 2.4) / 6, one.served().get("high"), CLOSE);
-        assertEquals(1, one.price().floors());
-        assertTrue(one.price().binds().contains("the floor of low"));
+        assertEquals(1, one.evaluation().floors());
+        assertTrue(one.evaluation().binds().contains("the floor of low"));
         Case two = Planner.solve(fleet, Set.of("a", "b"));
-        assertEquals(4.0 / 9 / 0.8, two.price().floors(), CLOSE);
+        assertEquals(4.0 / 9 / 0.8, two.evaluation().floors(), CLOSE);
         assertEquals(4.0 / 9, two.served().get("low"), CLOSE);
         assertEquals(4.0 / 9, two.served().get("high"), CLOSE);
-        assertTrue(PlanText.explain(fleet, Set.of("a", "b")).stream().anyMatch(line -> line.startsWith("no plan can hold the floors: what is left can do 55.6%")));
+        assertTrue(PlanReport.explain(fleet, Set.of("a", "b")).stream().anyMatch(line -> line.startsWith("no plan can hold the floors: what is left can do 55.6%")));
     }
 
     @Test
@@ -68,7 +68,7 @@
         List<Crossing> narrow = List.of(new Crossing("b", "a", 0, 0.25), new Crossing("b", "c", 0, 0.5));
         Case c = Planner.solve(fleet(narrow, 0), Set.of("b"));
         assertEquals(0.25 / 0.75, c.to().get("b").get("a"), CLOSE);
-        assertTrue(c.price().binds().contains("the way from b to a") && c.price().binds().contains("the way from b to c"), c.price().binds().toString());
+        assertTrue(c.evaluation().binds().contains("the way from b to a") && c.evaluation().binds().contains("the way from b to c"), c.evaluation().binds().toString());
         // A crossing that costs more than the low class brings is not worth taking.
         List<Crossing> dear = new ArrayList<>();
         for (String to : List.of("a", "c")) {
@@ -89,8 +89,8 @@
             for (Set<String> lost : fleet.losses()) {
                 Case c = Planner.solve(fleet, lost);
                 double left = fleet.sites().entrySet().stream().filter(s -> !lost.contains(s.getKey())).mapToDouble(s -> s.getValue().usable()).sum();
-                double greedy = greedy(fleet, left, c.price().floors());
-                assertEquals(greedy, c.price().worth(), 1e-3 * fleet.worth(), "round " + i + " lost " + lost);
+                double greedy = greedy(fleet, left, c.evaluation().floors());
+                assertEquals(greedy, c.evaluation().worth(), 1e-3 * fleet.worth(), "round " + i + " lost " + lost);
                 refusing += c.served().values().stream().anyMatch(p -> p < 1) ? 1 : 0;
                 keepsItsWord(fleet, c);
                 inOrder(fleet, c);
@@ -122,7 +122,7 @@
             left -= floors * k.floor() * k.total() * k.work();
             worth += floors * k.floor() * k.total() * k.worth();
         }
-        List<String> best = new ArrayList<>(fleet.refusedFirst());
+        List<String> best = new ArrayList<>(fleet.refusalOrder());
         java.util.Collections.reverse(best);
         for (String name : best) {
             Kind k = fleet.classes().get(name);
@@ -146,15 +146,15 @@
         });
         got.forEach((to, work) -> {
             assertTrue(work <= fleet.sites().get(to).usable() * (1 + 5 * CLOSE), to + " gets " + work);
-            assertEquals(c.price().use().get(to), work / fleet.sites().get(to).capacity(), 5 * CLOSE);
+            assertEquals(c.evaluation().use().get(to), work / fleet.sites().get(to).capacity(), 5 * CLOSE);
         });
     }
 
     /** No class is refused while one whose work is worth less is served above its floor. */
     private static void inOrder(Fleet fleet, Case c) {
-        List<String> order = fleet.refusedFirst();
+        List<String> order = fleet.refusalOrder();
         for (int low = 0; low < order.size(); low++) {
-            boolean aboveFloor = c.served().get(order.get(low)) > c.price().floors() * fleet.classes().get(order.get(low)).floor() + CLOSE;
+            boolean aboveFloor = c.served().get(order.get(low)) > c.evaluation().floors() * fleet.classes().get(order.get(low)).floor() + CLOSE;
             for (int high = low + 1; high < order.size(); high++) {
                 assertTrue(!aboveFloor || c.served().get(order.get(high)) > 1 - CLOSE, order.get(high) + " is refused while " + order.get(low) + " is served");
             }
@@ -163,7 +163,7 @@
 
     @Test
     void aPlanHasAnAnswerForEveryLossAndTheNearestForMore() {
-        LossPlan plan = Planner.plan(fleet(List.of(), 0));
+        FailoverPlan plan = Planner.plan(fleet(List.of(), 0));
         assertEquals(7, plan.cases().size());
         assertEquals(Set.of("a", "b"), plan.lost(Set.of("b", "a")).lost());
         assertEquals(Set.of(), plan.lost(Set.of("elsewhere")).lost());
--- a/src/test/java/onyxpaddle/socket/PollableChannelTest.java
+++ b/src/test/java/onyxpaddle/socket/PollableChannelTest.java
@@ -25,8 +25,8 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
-import onyxpaddle.node.Sockets;
-import onyxpaddle.socket.PollableChannel.Found;
+import onyxpaddle.node.SocketBuffers;
+import onyxpaddle.socket.PollableChannel.PollResult;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -38,7 +38,7 @@
     private static final int PIECES = 20;
     private static final int SMALL_PIECE = 1_000;
     /** More than a look takes in, and less than sockets hold. */
-    private static final int LARGE_PIECE = 6 * Sockets.READ_SIZE;
+    private static final int LARGE_PIECE = 6 * SocketBuffers.READ_SIZE;
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final ByteArrayOutputStream read = new ByteArrayOutputStream();
     private final CompletableFuture<byte[]> ended = new CompletableFuture<>();
@@ -49,7 +49,7 @@
     void connect() throws Exception {
         try (ServerSocket listener = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
             channel = (PollableChannel) new Bootstrap().group(group).channel(PollableChannel.class)
-                .option(ChannelOption.RECVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(Sockets.READ_SIZE))
+                .option(ChannelOption.RECVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(SocketBuffers.READ_SIZE))
                 .handler(new ChannelInboundHandlerAdapter() {
                     @Override
                     public void channelRead(ChannelHandlerContext context, Object message) throws Exception {
@@ -78,10 +78,10 @@
     }
 
     /** What the first look finds that finds anything; nothing where there is none in a long time. */
-    private Found awaitSomething() {
+    private PollResult awaitSomething() {
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_S / 2);
-        Found found = channel.poll();
-        while (found == Found.NOTHING && System.nanoTime() < end) {
+        PollResult found = channel.poll();
+        while (found == PollResult.NOTHING && System.nanoTime() < end) {
             found = channel.poll();
         }
         return found;
@@ -89,7 +89,7 @@
 
     @Test
     void findsNothingWhereNothingCame() throws Exception {
-        assertEquals(Found.NOTHING, onLoop(channel::poll));
+        assertEquals(PollResult.NOTHING, onLoop(channel::poll));
         assertTrue(channel.isActive());
     }
 
@@ -127,10 +127,10 @@
     /** The look begins before the first byte is written, and ends with the loop's turn in which it found some. */
     private Future<Void> writeDuringALook(ExecutorService writer, Callable<Void> write) throws Exception {
         return onLoop(() -> {
-            assertEquals(Found.NOTHING, channel.poll());
+            assertEquals(PollResult.NOTHING, channel.poll());
             int before = read.size();
             Future<Void> written = writer.submit(write);
-            assertEquals(Found.BYTES, awaitSomething());
+            assertEquals(PollResult.BYTES, awaitSomething());
             assertEquals(before, read.size(), "the pipeline has had them before its turn");
             return written;
         });
@@ -147,7 +147,7 @@
     void bytesFoundWhileReadingIsPausedWaitForIt() throws Exception {
         onLoop(() -> channel.config().setAutoRead(false));
         peer.getOutputStream().write(new byte[] {1, 2, 3});
-        assertEquals(Found.BYTES, onLoop(this::awaitSomething));
+        assertEquals(PollResult.BYTES, onLoop(this::awaitSomething));
         assertEquals(0, onLoop(read::size));
         onLoop(() -> channel.config().setAutoRead(true));
         while (onLoop(read::size) < 3) {
@@ -162,26 +162,26 @@
         peer.getOutputStream().write(new byte[20_000]);
         peer.close();
         onLoop(() -> {
-            while (channel.poll() != Found.END) {
+            while (channel.poll() != PollResult.END) {
                 Thread.onSpinWait();
             }
             return null;
         });
         assertFalse(channel.isActive());
         ended.get(PATIENCE_S, TimeUnit.SECONDS);
-        assertEquals(Found.END, onLoop(channel::poll));
+        assertEquals(PollResult.END, onLoop(channel::poll));
     }
 
     @Test
     void resetIsAnEnd() throws Exception {
         peer.setSoLinger(true, 0);
         // The loop stands meanwhile, so that a look is the first to meet it.
-        Found found = onLoop(() -> {
-            assertEquals(Found.NOTHING, channel.poll());
+        PollResult found = onLoop(() -> {
+            assertEquals(PollResult.NOTHING, channel.poll());
             peer.close();
             return awaitSomething();
         });
-        assertEquals(Found.END, found);
+        assertEquals(PollResult.END, found);
         ended.get(PATIENCE_S, TimeUnit.SECONDS);
     }
 
