--- a/src/main/java/onyxpaddle/site/FailoverPlan.java
+++ b/src/main/java/onyxpaddle/site/FailoverPlan.java
@@ -8,43 +8,43 @@
 import java.util.TreeSet;
 
 /**
- * What each node does when sites are lost, made before: for each loss the part of every class that is served, and where the clients of each site
- * are sent. All nodes have the same plan, so none needs another's word.
+ * The precomputed response to the loss of sites: for each loss, the share of every class that is served and the sites that the clients of
+ * each site are sent to. All nodes load the same plan, so they act alike without coordination.
  *
- * @param of tells what it was made for from all else
- * @param fleet its name
+ * @param fleetDigest identifies the figures that the plan was made from
+ * @param fleetName the name of the fleet that the plan was made for
  */
-public record FailoverPlan(String of, String fleet, List<Case> cases) {
+public record FailoverPlan(String fleetDigest, String fleetName, List<Case> cases) {
     /**
-     * One loss.
+     * The response to one loss.
      *
-     * @param lost the sites; none for the usual day
-     * @param served by class, the part of its requests that is served, 0 to 1
-     * @param to by the site at which requests come, the parts of its work that go to each survivor; they add up to 1
-     * @param evaluation what it comes to; null in a plan that was read from a file
+     * @param lost the lost sites; empty for normal operation
+     * @param served by class, the share of its requests that is served, 0 to 1
+     * @param destinations by the site where requests arrive, the shares of its work that go to each survivor; they add up to 1
+     * @param evaluation the expected result; null in a plan that was read from a file
      */
-    public record Case(Set<String> lost, Map<String, Double> served, Map<String, Map<String, Double>> to, Evaluation evaluation) {
+    public record Case(Set<String> lost, Map<String, Double> served, Map<String, Map<String, Double>> destinations, Evaluation evaluation) {
         public Case {
             lost = Collections.unmodifiableSet(new TreeSet<>(lost));
             served = Collections.unmodifiableMap(new TreeMap<>(served));
-            Map<String, Map<String, Double>> ways = new TreeMap<>();
-            to.forEach((from, parts) -> ways.put(from, Collections.unmodifiableMap(new TreeMap<>(parts))));
-            to = Collections.unmodifiableMap(ways);
+            Map<String, Map<String, Double>> copy = new TreeMap<>();
+            destinations.forEach((from, shares) -> copy.put(from, Collections.unmodifiableMap(new TreeMap<>(shares))));
+            destinations = Collections.unmodifiableMap(copy);
         }
     }
 
     /**
-     * What a case comes to.
+     * The expected result of a case.
      *
-     * @param worth a second that is served, crossings taken off
-     * @param use by survivor, the work it gets over its capacity
-     * @param floors the part of the stated floors that is held: below 1 where no plan can hold them
-     * @param binds what keeps more from being served, in words; empty where all is served
+     * @param worth served per second, less the cost of links between sites
+     * @param utilization by survivor, the work sent to it divided by its capacity
+     * @param floorsMet the fraction of the configured floors that is met: below 1 where no plan can meet them in full
+     * @param bindingConstraints for display, the constraints that keep more from being served; empty where everything is served
      */
-    public record Evaluation(double worth, Map<String, Double> use, double floors, List<String> binds) {
+    public record Evaluation(double worth, Map<String, Double> utilization, double floorsMet, List<String> bindingConstraints) {
         public Evaluation {
-            use = Collections.unmodifiableMap(new TreeMap<>(use));
-            binds = List.copyOf(binds);
+            utilization = Collections.unmodifiableMap(new TreeMap<>(utilization));
+            bindingConstraints = List.copyOf(bindingConstraints);
         }
     }
 
@@ -52,11 +52,11 @@
         cases = List.copyOf(cases);
     }
 
-    /** What is to be done when these sites are lost; where the plan has no such case, that of the largest part of them that it has. */
-    public Case lost(Set<String> sites) {
+    /** The case for these lost sites; where the plan has none, the case with the largest subset of them. */
+    public Case caseFor(Set<String> lost) {
         Case best = null;
         for (Case c : cases) {
-            if (sites.containsAll(c.lost()) && (best == null || c.lost().size() > best.lost().size())) {
+            if (lost.containsAll(c.lost()) && (best == null || c.lost().size() > best.lost().size())) {
                 best = c;
             }
         }
--- a/src/main/java/onyxpaddle/site/PlanGate.java
+++ b/src/main/java/onyxpaddle/site/PlanGate.java
@@ -16,100 +16,101 @@
 import onyxpaddle.BalancerApi.ServerState;
 import onyxpaddle.node.SiteGate;
 import onyxpaddle.site.FailoverPlan.Case;
+import onyxpaddle.site.SiteState.OperatorOverride;
 import onyxpaddle.site.SiteState.Phase;
-import onyxpaddle.site.SiteState.Word;
 
 /**
- * Refuses by a plan while sites are lost. The plan says how much work the survivors may take; this node's part of it is that over the nodes that
- * are left, as no node tells another anything. Against that stands the work that comes here by its own count of the last second, and what is
- * too much is refused in the plan's order: never below a class's floor, the work that is worth least first. So a loss at night
- * refuses nothing, and a plan made for another load than today's refuses what today asks. While no site is lost it lets all in: one that
- * returns is paced by what its cold servers may be sent, and by the module's own limit.
+ * Refuses requests by a failover plan while sites are lost. The plan says how much work the survivors can take; this node's part of it is
+ * that amount divided by the nodes that are left, as nodes do not communicate. This amount is compared with the work that arrived at this
+ * node in the last second, and the excess is refused in the plan's order: the work with the lowest worth first, and no class below its
+ * floor. So a loss at a time of low load refuses nothing, and a plan made for another load refuses only what the current load requires.
+ * While no site is lost it admits everything: a returning site is protected by the limit on what its cold servers may be sent, and by the
+ * balancer's own limit.
  *
- * <p>It does harm where the nodes of a site that is lost live on and keep their clients: survivors then have more than their part to give and
- * refuse too little, which is left to the module's own limit.
+ * <p>The division fails where the nodes of a lost site keep running and keep their clients: then the nodes of the survivors claim more than
+ * their part and refuse too little. The excess is left to the balancer's own limit.
  */
 public final class PlanGate implements SiteGate {
-    /** Over which arrivals are counted, in seconds. */
-    private static final double SPAN_S = 1;
-    /** How often the parts that are let in are worked out anew. */
-    private static final long ANEW = 20_000_000L;
-    /** A call that its node stopped waiting for after this had no answer in time; one that was stopped sooner says nothing. */
+    /** Time constant of the arrival rates, in seconds. */
+    private static final double RATE_TIME_CONSTANT_S = 1;
+    /** How often the admitted shares are recomputed, in nanoseconds. */
+    private static final long RECOMPUTE_INTERVAL = 20_000_000L;
+    /** A call cancelled after at least this long had no answer in time; one cancelled sooner is no evidence. In nanoseconds. */
     private static final long SILENT_AFTER = 200_000_000L;
-    /** The part of the longest time to come back that is given at the least: the rest is spread. */
-    private static final double SOONEST = 0.25;
+    /** The smallest retry delay, as a share of the longest: delays are spread between the two. */
+    private static final double MIN_DELAY_SHARE = 0.25;
 
     private final Fleet fleet;
     private final FailoverPlan plan;
     private final SiteMonitor sites;
-    private final long longestAway;
+    private final long maxRetryDelay;
     private final SplittableRandom random;
     private final Consumer<String> log;
-    private final Map<String, Count> counts = new TreeMap<>();
-    /** The class whose work is worth most first. */
-    private final List<String> best;
-    /** As the list says: by server its site, and those that are ready. */
+    private final Map<String, ClassLoad> loads = new TreeMap<>();
+    /** The classes by worth per second of work, highest first. */
+    private final List<String> admissionOrder;
+    /** The site of each listed server. */
     private final Map<String, String> siteOf = new HashMap<>();
-    private final Set<String> ready = new TreeSet<>();
-    private boolean open = true;
-    private long workedOutAt;
+    private final Set<String> readyServers = new TreeSet<>();
+    private boolean admitsAll = true;
+    private long recomputedAt;
     private boolean stale = true;
 
-    /** What has come of a class, and the part of it that is let in. */
-    private static final class Count {
+    /** The arrival rate of a class, and the share of it that is admitted. */
+    private static final class ClassLoad {
         double perSecond;
-        long at;
-        double letIn = 1;
-        /** Of the refusals so far, what is still owed: so many in a hundred, evenly. */
-        double owed;
+        long updatedAt;
+        double admittedShare = 1;
+        /** Accumulated share of refusals: at 1 the next request is refused, which spaces the refusals evenly. */
+        double refusalCredit;
 
-        void came(long now) {
-            perSecond = now(now) + 1 / SPAN_S;
-            at = now;
+        void arrived(long now) {
+            perSecond = rate(now) + 1 / RATE_TIME_CONSTANT_S;
+            updatedAt = now;
         }
 
-        double now(long now) {
-            return perSecond * Math.exp((at - now) / 1e9 / SPAN_S);
+        double rate(long now) {
+            return perSecond * Math.exp((updatedAt - now) / 1e9 / RATE_TIME_CONSTANT_S);
         }
     }
 
     /**
-     * {@code sites}: as this node sees them; {@code longestAway}: the longest time in nanoseconds that a client may be told to stay away, 0 where it
-     * may not be told; {@code log}: takes a line for each change.
+     * {@code sites}: as this node sees them; {@code maxRetryDelay}: the longest delay that a refused client may be told, in nanoseconds, 0
+     * to tell none; {@code log}: receives a line for each change of a site.
      */
-    public PlanGate(Fleet fleet, FailoverPlan plan, SiteMonitor sites, long longestAway, long seed, Consumer<String> log) {
+    public PlanGate(Fleet fleet, FailoverPlan plan, SiteMonitor sites, long maxRetryDelay, long seed, Consumer<String> log) {
         this.fleet = fleet;
         this.plan = plan;
         this.sites = sites;
-        this.longestAway = longestAway;
+        this.maxRetryDelay = maxRetryDelay;
         this.random = new SplittableRandom(seed);
         this.log = log;
-        fleet.classes().keySet().forEach(c -> counts.put(c, new Count()));
-        best = new ArrayList<>(fleet.refusalOrder());
-        java.util.Collections.reverse(best);
+        fleet.classes().keySet().forEach(c -> loads.put(c, new ClassLoad()));
+        admissionOrder = new ArrayList<>(fleet.refusalOrder());
+        java.util.Collections.reverse(admissionOrder);
     }
 
     @Override
     public long refuses(long now, String requestClass) {
-        Count count = counts.get(requestClass);
-        if (count == null) {
+        ClassLoad load = loads.get(requestClass);
+        if (load == null) {
             return ADMITTED;
         }
-        count.came(now);
+        load.arrived(now);
         sites.tick(now);
-        news();
-        if (open) {
+        logChanges();
+        if (admitsAll) {
             return ADMITTED;
         }
-        if (stale || now - workedOutAt >= ANEW) {
-            workOut(now);
+        if (stale || now - recomputedAt >= RECOMPUTE_INTERVAL) {
+            recompute(now);
         }
-        count.owed += 1 - count.letIn;
-        if (count.owed < 1) {
+        load.refusalCredit += 1 - load.admittedShare;
+        if (load.refusalCredit < 1) {
             return ADMITTED;
         }
-        count.owed -= 1;
-        return (long) (longestAway * (SOONEST + (1 - SOONEST) * random.nextDouble()));
+        load.refusalCredit -= 1;
+        return (long) (maxRetryDelay * (MIN_DELAY_SHARE + (1 - MIN_DELAY_SHARE) * random.nextDouble()));
     }
 
     @Override
@@ -122,15 +123,15 @@
             case OK, ERROR, FULL, REJECTED, NOT_REPLAYABLE -> sites.answered(now, site, server);
             case TIMED_OUT, CONNECT_FAILED -> sites.unreachable(now, site, server);
             case CANCELLED -> {
-                // Another attempt was quicker, or its client left: that it was silent for long is what counts.
+                // Another attempt was quicker, or the client left: only a long silence counts as a failure.
                 if (latency >= SILENT_AFTER) {
                     sites.unreachable(now, site, server);
                 }
             }
-            // A reset may be one server's end, and what was not sent says nothing.
+            // A reset may be the end of a single server, and a request that was not sent is no evidence.
             case RESET, NOT_SENT -> { }
         }
-        news();
+        logChanges();
     }
 
     @Override
@@ -140,47 +141,51 @@
         }
         if (kind != ListKind.CHANGES) {
             siteOf.clear();
-            ready.clear();
+            readyServers.clear();
         }
         for (ServerEntry entry : entries) {
             if (entry.state() == ServerState.GONE) {
                 siteOf.remove(entry.server());
-                ready.remove(entry.server());
+                readyServers.remove(entry.server());
                 continue;
             }
             siteOf.put(entry.server(), entry.zone());
             if (entry.state() == ServerState.READY) {
-                ready.add(entry.server());
+                readyServers.add(entry.server());
             } else {
-                ready.remove(entry.server());
+                readyServers.remove(entry.server());
             }
         }
         for (String site : fleet.sites().keySet()) {
-            sites.listed(now, site, (int) ready.stream().filter(s -> site.equals(siteOf.get(s))).count());
+            sites.listed(now, site, (int) readyServers.stream().filter(s -> site.equals(siteOf.get(s))).count());
         }
-        news();
+        logChanges();
     }
 
     @Override
     public List<Site> siteStatuses(long now) {
         sites.tick(now);
-        news();
-        return fleet.sites().keySet().stream().map(name -> new Site(name, phase(name).name().toLowerCase(Locale.ROOT), sites.state(name).held(),
-            sites.state(name).penalty(now))).toList();
+        logChanges();
+        return fleet.sites().keySet().stream().map(name -> new Site(name, phase(name).name().toLowerCase(Locale.ROOT),
+            sites.state(name).held(), sites.state(name).penalty(now))).toList();
     }
 
     @Override
     public boolean operators(long now, String site, boolean hold) {
-        if (!fleet.sites().containsKey(site) || hold && fleet.sites().keySet().stream().allMatch(s -> s.equals(site) || sites.state(s).held())) {
+        if (!fleet.sites().containsKey(site)
+                || hold && fleet.sites().keySet().stream().allMatch(s -> s.equals(site) || sites.state(s).held())) {
             return false;
         }
-        sites.operators(now, site, hold ? Word.HOLD : Word.RELEASE);
+        sites.override(now, site, hold ? OperatorOverride.HOLD : OperatorOverride.RELEASE);
         log.accept("site " + site + ": " + (hold ? "held" : "released") + " by operators");
-        news();
+        logChanges();
         return true;
     }
 
-    /** Nothing new to a site that operators hold. One that is lost keeps its chances: failures take them, and what is left of these finds it back. */
+    /**
+     * A site that operators hold gets no new requests. A lost site keeps its share here: the balancer reduces it as attempts fail, and the
+     * attempts that remain detect its return.
+     */
     @Override
     public Map<String, Double> shares() {
         Map<String, Double> shares = new TreeMap<>();
@@ -188,67 +193,69 @@
         return shares;
     }
 
-    /** How a site stands with this node. */
+    /** The phase of a site as this node sees it. */
     public Phase phase(String site) {
         return sites.state(site).phase();
     }
 
-    /** The part of a class that is let in, 0 to 1. */
-    public double letIn(String requestClass) {
-        return open ? 1 : counts.get(requestClass).letIn;
+    /** The share of a class that is admitted, 0 to 1. */
+    public double admittedShare(String requestClass) {
+        return admitsAll ? 1 : loads.get(requestClass).admittedShare;
     }
 
-    private void news() {
-        for (SiteMonitor.Change change : sites.changes()) {
-            log.accept("site " + change.site() + ": " + change.from() + " to " + change.to() + (change.ownSiteCut() ? ", while this node's own is cut off" : ""));
+    private void logChanges() {
+        for (SiteMonitor.PhaseChange change : sites.takeChanges()) {
+            log.accept("site " + change.site() + ": " + change.from() + " to " + change.to()
+                + (change.ownSiteIsolated() ? ", while this node's own site is cut off" : ""));
             stale = true;
         }
-        boolean sound = !sites.anyGone();
-        if (open && !sound) {
-            counts.values().forEach(c -> c.owed = random.nextDouble());
+        boolean sound = !sites.anyDown();
+        if (admitsAll && !sound) {
+            loads.values().forEach(c -> c.refusalCredit = random.nextDouble());
         }
-        open = sound;
+        admitsAll = sound;
     }
 
-    /** Work a second that this node may let in. */
-    double allowed() {
+    /** The work that this node may admit, in seconds per second. */
+    double admissibleWork() {
         Set<String> lost = new TreeSet<>();
         double nodes = 0;
         for (Map.Entry<String, Fleet.Site> site : fleet.sites().entrySet()) {
-            if (sites.state(site.getKey()).gone()) {
+            if (sites.state(site.getKey()).isDown()) {
                 lost.add(site.getKey());
             } else {
                 nodes += site.getValue().nodes();
             }
         }
-        return work(lost) / Math.max(1, nodes);
+        return plannedWork(lost) / Math.max(1, nodes);
     }
 
-    private double work(Set<String> lost) {
-        Case c = plan.lost(lost);
-        return fleet.classes().entrySet().stream().mapToDouble(k -> c.served().get(k.getKey()) * k.getValue().work() * k.getValue().total()).sum();
+    private double plannedWork(Set<String> lost) {
+        Case c = plan.caseFor(lost);
+        return fleet.classes().entrySet().stream()
+            .mapToDouble(k -> c.served().get(k.getKey()) * k.getValue().work() * k.getValue().totalPerSecond()).sum();
     }
 
-    private void workOut(long now) {
-        workedOutAt = now;
+    private void recompute(long now) {
+        recomputedAt = now;
         stale = false;
-        double left = allowed();
+        double left = admissibleWork();
         double floors = 0;
-        for (String name : best) {
-            floors += fleet.classes().get(name).floor() * work(name, now);
-        }
-        double held = floors > left ? left / floors : 1;
-        left -= held * floors;
-        for (String name : best) {
-            double work = work(name, now);
-            double floor = held * fleet.classes().get(name).floor();
-            double more = Math.min(Math.max(0, left), (1 - floor) * work);
-            left -= more;
-            counts.get(name).letIn = work <= 0 ? 1 : Math.min(1, floor + more / work);
+        for (String name : admissionOrder) {
+            floors += fleet.classes().get(name).floor() * arrivingWork(name, now);
+        }
+        double floorsMet = floors > left ? left / floors : 1;
+        left -= floorsMet * floors;
+        for (String name : admissionOrder) {
+            double work = arrivingWork(name, now);
+            double floor = floorsMet * fleet.classes().get(name).floor();
+            double aboveFloor = Math.min(Math.max(0, left), (1 - floor) * work);
+            left -= aboveFloor;
+            loads.get(name).admittedShare = work <= 0 ? 1 : Math.min(1, floor + aboveFloor / work);
         }
     }
 
-    private double work(String requestClass, long now) {
-        return fleet.classes().get(requestClass).work() * counts.get(requestClass).now(now);
+    private double arrivingWork(String requestClass, long now) {
+        return fleet.classes().get(requestClass).work() * loads.get(requestClass).rate(now);
     }
 }
--- a/src/main/java/onyxpaddle/site/SiteState.java
+++ b/src/main/java/onyxpaddle/site/SiteState.java
@@ -4,162 +4,165 @@
 import java.util.Set;
 
 /**
- * How one site stands with one node, by that node's own attempts and its lists alone. What it decides is the share of the site's usual
- * load that the node may send there. Time is handed in, in nanoseconds, and never goes back; does no I/O.
+ * The state of one site as one node sees it, from that node's own attempts and server lists alone. Decides the share of the site's usual
+ * load that the node may send there. Does no I/O; callers pass the time in nanoseconds, which must not go back.
  *
- * <p>A site is lost when several of its servers can't be reached and none answers; one bad server is not enough, and neither is an
- * error that a server words, which shows that it is there. While it is lost it gets a trickle of what may be sent again, by
- * which its return is noticed, as there are no probes. It returns by steps, each held until there is evidence enough,
- * and goes a step back when it fails or the survivors worsen. A site that is lost again and again is held down by a penalty
- * that decays with time (RFC 2439).
+ * <p>A site is lost when several of its servers can't be reached and none answers. One bad server is not enough, and neither is an error
+ * response, which shows that the server is up. A lost site gets a small share of the requests that are safe to send again, so that its
+ * return is noticed, as there are no probes. It returns in steps of increasing share, each held until there is enough evidence, and goes
+ * back one step when it fails or the survivors degrade. A site that is lost repeatedly is held down by a penalty that decays with time (RFC
+ * 2439).
  */
 public class SiteState {
-    /** Share of what may be sent again that goes to a lost site. */
+    /** The share of the requests that are safe to send again which a lost site gets. */
     public static final double TRICKLE = 0.01;
-    private static final int MOST_REMEMBERED = 64;
+    private static final int MAX_FAILED_SERVERS = 64;
 
-    /** What a site can be. */
+    /** The phases of a site. */
     public enum Phase {
         SOUND,
-        /** Nothing of it answers; it still gets its load, as most of this passes. */
+        /** No server answers; the site still gets its load, as most such episodes pass. */
         SUSPECTED, LOST,
-        /** It gets a step's share. */
+        /** It gets the share of the current step. */
         RETURNING,
-        /** As LOST, for having been lost too often. */
+        /** Treated like LOST, because it has been lost too often. */
         HELD_DOWN
     }
 
-    /** What operators have said. */
-    public enum Word { NONE, HOLD, RELEASE }
+    /** What operators have ordered for a site. */
+    public enum OperatorOverride { NONE, HOLD, RELEASE }
 
     private final SiteRules rules;
-    private final Set<String> failing = new LinkedHashSet<>();
+    private final Set<String> failedServers = new LinkedHashSet<>();
     private Phase phase = Phase.SOUND;
-    private Word word = Word.NONE;
-    private int listed;
+    private OperatorOverride operatorOverride = OperatorOverride.NONE;
+    private int readyServers;
     private int step;
-    private long since;
+    private long phaseStart;
     private int answers;
     private int failures;
     private double penalty;
-    private long penaltyAt;
+    private long penaltyUpdatedAt;
 
     public SiteState(SiteRules rules) {
         this.rules = rules;
     }
 
-    // ---- what happens ----
+    // ---- events ----
 
-    /** The lists now name so many of its servers as ready; a site of which none is ready is lost without further evidence. */
+    /** The server lists changed. A site with no ready server is lost without further evidence. */
     public final void listed(long now, int ready) {
-        listed = ready;
+        readyServers = ready;
         if (ready == 0 && phase != Phase.LOST && phase != Phase.HELD_DOWN) {
             lose(now);
         }
         tick(now);
     }
 
-    /** A server of it answered, well or not. */
+    /** A server of the site answered, with success or an error. */
     public final void answered(long now, String server) {
-        failing.clear();
+        failedServers.clear();
         answers++;
         if (phase == Phase.SUSPECTED) {
-            go(Phase.SOUND, now);
+            enter(Phase.SOUND, now);
         }
         tick(now);
     }
 
-    /** No connection to a server came up, or it said nothing in time. {@code ownSiteCut}: see {@link SiteMonitor}. */
-    public final void unreachable(long now, String server, boolean ownSiteCut) {
-        if (failing.size() < MOST_REMEMBERED) {
-            failing.add(server);
+    /** A server could not be connected to or did not answer in time. {@code ownSiteIsolated}: see {@link SiteMonitor}. */
+    public final void unreachable(long now, String server, boolean ownSiteIsolated) {
+        if (failedServers.size() < MAX_FAILED_SERVERS) {
+            failedServers.add(server);
         }
         failures++;
-        if (phase == Phase.SOUND && suspect()) {
-            go(Phase.SUSPECTED, now);
+        if (phase == Phase.SOUND && enoughServersFailed()) {
+            enter(Phase.SUSPECTED, now);
         }
-        if (ownSiteCut && phase == Phase.SUSPECTED) {
-            // It is this site that is cut off; of the other one nothing is known.
-            since = now;
+        if (ownSiteIsolated && phase == Phase.SUSPECTED) {
+            // This node's own site is cut off, so the failure says nothing about the other site.
+            phaseStart = now;
         }
         tick(now);
     }
 
-    /** The survivors got worse since the last step, by what this node sees of them. */
-    public final void survivorsWorsen(long now) {
+    /** This node sees the survivors degrade since the last step. */
+    public final void survivorsDegraded(long now) {
         tick(now);
         if (phase == Phase.RETURNING) {
-            back(now);
+            stepBack(now);
         }
     }
 
     /**
-     * Operators override: HOLD sends nothing until they say otherwise, and what was held returns by steps as what was lost; RELEASE
-     * forgets the penalty and lets it return now.
+     * Applies an operator override. HOLD sends no requests until operators change it, after which the site returns in steps like a lost
+     * one. RELEASE clears the penalty and lets the site return at once.
      */
-    public final void operators(long now, Word said) {
-        word = said;
-        if (said == Word.HOLD) {
-            go(Phase.LOST, now);
+    public final void override(long now, OperatorOverride ordered) {
+        operatorOverride = ordered;
+        if (ordered == OperatorOverride.HOLD) {
+            enter(Phase.LOST, now);
         }
-        if (said == Word.RELEASE) {
+        if (ordered == OperatorOverride.RELEASE) {
             penalty = 0;
             if (phase == Phase.LOST || phase == Phase.HELD_DOWN) {
                 step = 0;
-                go(Phase.RETURNING, now);
+                enter(Phase.RETURNING, now);
             }
         }
         tick(now);
     }
 
-    /** Time passes. */
+    /** Makes the transitions that are due at this time. */
     public final void tick(long now) {
-        if (word == Word.HOLD) {
+        if (operatorOverride == OperatorOverride.HOLD) {
             return;
         }
         switch (phase) {
             case SUSPECTED -> {
-                if (now - since >= rules.confirm()) {
+                if (now - phaseStart >= rules.confirm()) {
                     lose(now);
                 }
             }
             case LOST -> {
-                if (listed > 0 && answers > 0 && suppressed(now)) {
-                    go(Phase.HELD_DOWN, now);
-                } else if (listed > 0 && answers > 0) {
+                if (readyServers > 0 && answers > 0 && suppressed(now)) {
+                    enter(Phase.HELD_DOWN, now);
+                } else if (readyServers > 0 && answers > 0) {
                     step = 0;
-                    go(Phase.RETURNING, now);
+                    enter(Phase.RETURNING, now);
                 }
             }
             case HELD_DOWN -> {
                 if (penalty(now) < rules.reuse()) {
-                    go(Phase.LOST, now);
+                    enter(Phase.LOST, now);
                 }
             }
-            case RETURNING -> climb(now);
+            case RETURNING -> advanceReturn(now);
             case SOUND -> { }
         }
     }
 
-    // ---- what is decided ----
+    // ---- decisions ----
 
     public final Phase phase() {
         return phase;
     }
 
-    /** Whether it gets a trickle at the most. */
-    public final boolean gone() {
+    /** Whether the site is lost or held down. */
+    public final boolean isDown() {
         return phase == Phase.LOST || phase == Phase.HELD_DOWN;
     }
 
-    /** Whether operators hold it. */
+    /** Whether operators hold the site. */
     public final boolean held() {
-        return word == Word.HOLD;
+        return operatorOverride == OperatorOverride.HOLD;
     }
 
-    /** The share of its usual load that may be sent there, 0 to 1; of what may not be sent again nothing goes to a site that gets only the trickle. */
+    /**
+     * The share of its usual load that may be sent to the site, 0 to 1. A site that gets only {@link #TRICKLE} gets no requests that are
+     * not safe to send again.
+     */
     public final double share() {
-        if (word == Word.HOLD) {
+        if (operatorOverride == OperatorOverride.HOLD) {
             return 0;
         }
         return switch (phase) {
@@ -169,16 +172,16 @@
         };
     }
 
-    /** What losses have added up to by now. */
+    /** The accumulated penalty of past losses, decayed to this time. */
     public final double penalty(long now) {
-        return penalty * Math.pow(0.5, (double) (now - penaltyAt) / rules.halfLife());
+        return penalty * Math.pow(0.5, (double) (now - penaltyUpdatedAt) / rules.halfLife());
     }
 
-    // ---- parts that the exploration of its states replaces by faulty ones ----
+    // ---- conditions that the state exploration in the tests overrides with faulty ones ----
 
-    /** Whether what failed speaks for the whole site. */
-    boolean suspect() {
-        return failing.size() >= Math.min(rules.servers(), Math.max(1, listed));
+    /** Whether enough servers have failed to suspect the whole site. */
+    boolean enoughServersFailed() {
+        return failedServers.size() >= Math.min(rules.servers(), Math.max(1, readyServers));
     }
 
     /** Whether the site has been lost too often to return now. */
@@ -186,55 +189,57 @@
         return penalty(now) >= rules.suppress();
     }
 
-    /** Whether a step may be followed by the next. */
-    boolean enough(long now) {
-        return now - since >= rules.hold() && answers >= rules.answers();
+    /** Whether the current step has lasted long enough and seen enough answers. */
+    boolean stepCompleted(long now) {
+        return now - phaseStart >= rules.hold() && answers >= rules.answers();
     }
 
-    // ---- moves ----
+    // ---- transitions ----
 
-    private void climb(long now) {
-        if (answers + failures >= rules.answers() && failures >= rules.maxFailureShare() * (answers + failures) || answers == 0 && suspect()) {
-            back(now);
-        } else if (enough(now)) {
+    private void advanceReturn(long now) {
+        if (answers + failures >= rules.answers() && failures >= rules.maxFailureShare() * (answers + failures)
+                || answers == 0 && enoughServersFailed()) {
+            stepBack(now);
+        } else if (stepCompleted(now)) {
             if (step + 1 == rules.steps().size()) {
-                go(Phase.SOUND, now);
+                enter(Phase.SOUND, now);
             } else {
                 step++;
-                go(Phase.RETURNING, now);
+                enter(Phase.RETURNING, now);
             }
         }
     }
 
-    private void back(long now) {
+    private void stepBack(long now) {
         if (step == 0) {
             lose(now);
         } else {
             step--;
-            go(Phase.RETURNING, now);
+            enter(Phase.RETURNING, now);
         }
     }
 
     private void lose(long now) {
         penalty = penalty(now) + rules.penalty();
-        penaltyAt = now;
-        go(Phase.LOST, now);
+        penaltyUpdatedAt = now;
+        enter(Phase.LOST, now);
     }
 
-    /** Evidence counts from the beginning of a phase or step. */
-    private void go(Phase next, long now) {
+    /** Enters a phase or step; evidence is counted from here on. */
+    private void enter(Phase next, long now) {
         phase = next;
-        since = now;
+        phaseStart = now;
         answers = 0;
         failures = 0;
         if (next != Phase.SUSPECTED) {
-            failing.clear();
+            failedServers.clear();
         }
     }
 
-    /** All that its further decisions rest on, times as spans up to {@code now}: equal ones go on alike. */
+    /** Everything that later decisions depend on, times relative to {@code now}: states with equal keys behave the same. */
     final String key(long now) {
-        return phase + " " + word + " " + listed + " " + step + " " + Math.min(now - since, 2 * Math.max(rules.hold(), rules.confirm())) + " " + failing.size() + " "
+        return phase + " " + operatorOverride + " " + readyServers + " " + step + " "
+            + Math.min(now - phaseStart, 2 * Math.max(rules.hold(), rules.confirm())) + " " + failedServers.size() + " "
             + Math.min(answers, rules.answers()) + " " + Math.min(failures, rules.answers()) + " " + Math.round(penalty(now) / 10);
     }
 }
--- a/src/main/java/onyxpaddle/siteplan/Planner.java
+++ b/src/main/java/onyxpaddle/siteplan/Planner.java
@@ -5,216 +5,220 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import onyxpaddle.site.Fleet;
-import onyxpaddle.site.Fleet.Crossing;
-import onyxpaddle.site.Fleet.Kind;
 import onyxpaddle.site.FailoverPlan;
 import onyxpaddle.site.FailoverPlan.Case;
 import onyxpaddle.site.FailoverPlan.Evaluation;
+import onyxpaddle.site.Fleet;
+import onyxpaddle.site.Fleet.Crossing;
+import onyxpaddle.site.Fleet.Kind;
 import org.ojalgo.optimisation.Expression;
 import org.ojalgo.optimisation.ExpressionsBasedModel;
 import org.ojalgo.optimisation.Optimisation;
 import org.ojalgo.optimisation.Variable;
 
 /**
- * Solves where load goes and what is refused when sites are lost, as linear programs, one after the other: as much of the floors as can be held; then
- * the most worth less crossings; then the lowest use of the fullest survivor; then the least work that leaves a site for no need.
+ * Computes where load goes and what is refused when sites are lost, as a sequence of linear programs with lexicographic objectives: meet as
+ * much of the floors as possible; then maximise worth less link cost; then minimise the highest utilization of a survivor; then minimise
+ * the work that leaves its own site.
  *
- * <p>A class is served by the same part at every site, so that it makes no difference where a client is, and a node needs one number for each class.
- * Needs the solver's library, which a node does not have: nodes load what this has made.
+ * <p>A class is served with the same share at every site, so that all clients are treated alike and a node needs only one number per class.
+ * Needs the solver library, which nodes don't have: they load the finished plan.
  */
 public final class Planner {
-    private static final double CLOSE = 1e-7;
-    /** What is within this of its bound is at it. */
+    /** Slack for holding the result of one program as a bound of the next. */
+    private static final double SOLVER_SLACK = 1e-7;
+    /** A value within this distance of its bound counts as being at the bound. */
     private static final double AT_BOUND = 1e-5;
-    /** A smaller part of a site's work than this is not sent on a way of its own. */
-    private static final double LEAST_PART = 1e-3;
+    /** Shares of a site's work below this are dropped, and the survivors with larger shares take them. */
+    private static final double MIN_SHARE = 1e-3;
 
     private Planner() {
     }
 
-    /** A plan for every loss of one site and of two. */
+    /** A plan for the loss of each single site and of each pair. */
     public static FailoverPlan plan(Fleet fleet) {
         List<Case> cases = new ArrayList<>();
         fleet.losses().forEach(lost -> cases.add(solve(fleet, lost)));
         return new FailoverPlan(PlanFile.digest(fleet), fleet.name(), cases);
     }
 
-    /** The best that can be done when these are lost. */
+    /** The optimal response to the loss of these sites. */
     public static Case solve(Fleet fleet, Set<String> lost) {
-        double floors = Math.min(1, new Program(fleet, lost).floors());
+        double floors = Math.min(1, new Program(fleet, lost).maximiseFloors());
         Program worth = new Program(fleet, lost);
-        worth.hold(floors);
+        worth.requireFloors(floors);
         worth.maximiseWorth();
         Map<String, Double> served = new TreeMap<>();
-        fleet.classes().forEach((name, c) -> served.put(name, snapped(worth.value(worth.part.get(name)), floors * c.floor())));
-        Program even = new Program(fleet, lost);
-        even.serve(served, worth.crossingCost() + CLOSE * Math.max(1, fleet.worth()));
-        double fullest = even.minimiseFullest();
-        Program near = new Program(fleet, lost);
-        near.serve(served, worth.crossingCost() + CLOSE * Math.max(1, fleet.worth()));
-        near.fullest.upper(fullest + CLOSE);
-        near.minimiseCrossing();
-        return near.read(served, floors);
+        fleet.classes().forEach((name, c) ->
+            served.put(name, snapToBound(worth.value(worth.servedShare.get(name)), floors * c.floor())));
+        Program balanced = new Program(fleet, lost);
+        balanced.requireServed(served, worth.linkCost() + SOLVER_SLACK * Math.max(1, fleet.worth()));
+        double peak = balanced.minimisePeakUtilization();
+        Program local = new Program(fleet, lost);
+        local.requireServed(served, worth.linkCost() + SOLVER_SLACK * Math.max(1, fleet.worth()));
+        local.peakUtilization.upper(peak + SOLVER_SLACK);
+        local.minimiseRemoteWork();
+        return local.result(served, floors);
     }
 
-    /** Solvers end within a hair of a bound. */
-    private static double snapped(double part, double floor) {
-        if (part > 1 - AT_BOUND) {
+    /** Rounds a share to its bound where the solver stopped just short of it. */
+    private static double snapToBound(double share, double floor) {
+        if (share > 1 - AT_BOUND) {
             return 1;
         }
-        return Math.abs(part - floor) < AT_BOUND ? floor : Math.max(0, part);
+        return Math.abs(share - floor) < AT_BOUND ? floor : Math.max(0, share);
     }
 
-    /** The variables and the constraints that hold in every step. */
+    /** The variables and the constraints that all programs of the sequence have in common. */
     private static final class Program {
         private final Fleet fleet;
         private final List<String> survivors;
         private final ExpressionsBasedModel model = new ExpressionsBasedModel();
-        /** By class, the part of it that is served. */
-        private final Map<String, Variable> part = new TreeMap<>();
-        /** By site and survivor, work a second. */
+        /** By class, the share of it that is served. */
+        private final Map<String, Variable> servedShare = new TreeMap<>();
+        /** By site and survivor, the work sent, in seconds per second. */
         private final Map<String, Map<String, Variable>> flow = new TreeMap<>();
-        /** Work over what a plan may use, of the survivor where that is highest. */
-        private final Variable fullest = model.newVariable("fullest").lower(0).upper(1);
+        /** The highest ratio of work to usable capacity over all survivors. */
+        private final Variable peakUtilization = model.newVariable("fullest").lower(0).upper(1);
         private Optimisation.Result result;
 
         Program(Fleet fleet, Set<String> lost) {
             this.fleet = fleet;
             survivors = fleet.sites().keySet().stream().filter(s -> !lost.contains(s)).toList();
-            fleet.classes().keySet().forEach(c -> part.put(c, model.newVariable("part of " + c).lower(0).upper(1)));
+            fleet.classes().keySet().forEach(c -> servedShare.put(c, model.newVariable("served share of " + c).lower(0).upper(1)));
             for (String from : fleet.sites().keySet()) {
-                Expression all = model.newExpression("work of " + from).level(0);
-                fleet.classes().forEach((name, c) -> all.set(part.get(name), -c.work() * c.perSecond().getOrDefault(from, 0.0)));
+                Expression sent = model.newExpression("work of " + from).level(0);
+                fleet.classes().forEach((name, c) -> sent.set(servedShare.get(name), -c.work() * c.perSecond().getOrDefault(from, 0.0)));
                 flow.put(from, new TreeMap<>());
                 for (String to : survivors) {
-                    Variable way = model.newVariable(from + " to " + to).lower(0);
-                    double most = fleet.crossing(from, to).most();
-                    if (!from.equals(to) && most < Double.POSITIVE_INFINITY) {
-                        way.upper(most);
+                    Variable work = model.newVariable(from + " to " + to).lower(0);
+                    double limit = fleet.crossing(from, to).most();
+                    if (!from.equals(to) && limit < Double.POSITIVE_INFINITY) {
+                        work.upper(limit);
                     }
-                    all.set(way, 1);
-                    flow.get(from).put(to, way);
+                    sent.set(work, 1);
+                    flow.get(from).put(to, work);
                 }
             }
             for (String to : survivors) {
-                Expression use = model.newExpression("use of " + to).upper(0);
-                flow.values().forEach(ways -> use.set(ways.get(to), 1));
-                use.set(fullest, -fleet.sites().get(to).usable());
+                Expression load = model.newExpression("use of " + to).upper(0);
+                flow.values().forEach(bySurvivor -> load.set(bySurvivor.get(to), 1));
+                load.set(peakUtilization, -fleet.sites().get(to).usable());
             }
         }
 
-        /** The largest part of all floors that can be held at once. */
-        double floors() {
-            Variable held = model.newVariable("floors held").lower(0).upper(1).weight(1);
+        /** The largest fraction of all floors that can be met at once. */
+        double maximiseFloors() {
+            Variable met = model.newVariable("floors met").lower(0).upper(1).weight(1);
             fleet.classes().forEach((name, c) -> {
                 Expression floor = model.newExpression("floor of " + name).lower(0);
-                floor.set(part.get(name), 1);
-                floor.set(held, -c.floor());
+                floor.set(servedShare.get(name), 1);
+                floor.set(met, -c.floor());
             });
-            solved(model.maximise());
-            double most = value(held);
-            return most > 1 - AT_BOUND ? 1 : Math.max(0, most - CLOSE);
+            accept(model.maximise());
+            double most = value(met);
+            return most > 1 - AT_BOUND ? 1 : Math.max(0, most - SOLVER_SLACK);
         }
 
-        void hold(double floors) {
-            fleet.classes().forEach((name, c) -> part.get(name).lower(floors * c.floor()));
+        void requireFloors(double fraction) {
+            fleet.classes().forEach((name, c) -> servedShare.get(name).lower(fraction * c.floor()));
         }
 
         void maximiseWorth() {
-            fleet.classes().forEach((name, c) -> part.get(name).weight(c.worth() * c.total()));
-            crossings((crossing, way) -> way.weight(-crossing.cost()));
-            solved(model.maximise());
+            fleet.classes().forEach((name, c) -> servedShare.get(name).weight(c.worth() * c.totalPerSecond()));
+            forEachLink((link, work) -> work.weight(-link.cost()));
+            accept(model.maximise());
         }
 
-        void serve(Map<String, Double> served, double mostCost) {
-            served.forEach((name, p) -> part.get(name).lower(Math.max(0, p - CLOSE)).upper(p));
-            Expression cost = model.newExpression("crossings").upper(mostCost);
-            crossings((crossing, way) -> cost.set(way, crossing.cost()));
+        void requireServed(Map<String, Double> served, double maxLinkCost) {
+            served.forEach((name, share) -> servedShare.get(name).lower(Math.max(0, share - SOLVER_SLACK)).upper(share));
+            Expression cost = model.newExpression("crossings").upper(maxLinkCost);
+            forEachLink((link, work) -> cost.set(work, link.cost()));
         }
 
-        double minimiseFullest() {
-            fullest.weight(1);
-            solved(model.minimise());
-            return value(fullest);
+        double minimisePeakUtilization() {
+            peakUtilization.weight(1);
+            accept(model.minimise());
+            return value(peakUtilization);
         }
 
-        void minimiseCrossing() {
-            flow.forEach((from, ways) -> ways.forEach((to, way) -> way.weight(from.equals(to) ? 0 : 1)));
-            solved(model.minimise());
+        void minimiseRemoteWork() {
+            flow.forEach((from, bySurvivor) -> bySurvivor.forEach((to, work) -> work.weight(from.equals(to) ? 0 : 1)));
+            accept(model.minimise());
         }
 
-        double crossingCost() {
+        double linkCost() {
             double[] cost = {0};
-            crossings((crossing, way) -> cost[0] += crossing.cost() * value(way));
+            forEachLink((link, work) -> cost[0] += link.cost() * value(work));
             return cost[0];
         }
 
-        private interface Way {
-            void of(Crossing crossing, Variable way);
+        private interface LinkAction {
+            void apply(Crossing link, Variable work);
         }
 
-        private void crossings(Way each) {
-            flow.forEach((from, ways) -> ways.forEach((to, way) -> {
+        private void forEachLink(LinkAction action) {
+            flow.forEach((from, bySurvivor) -> bySurvivor.forEach((to, work) -> {
                 if (!from.equals(to)) {
-                    each.of(fleet.crossing(from, to), way);
+                    action.apply(fleet.crossing(from, to), work);
                 }
             }));
         }
 
-        private void solved(Optimisation.Result of) {
-            if (!of.getState().isFeasible()) {
-                throw new IllegalStateException("the solver found " + of.getState() + " for " + fleet.name());
+        private void accept(Optimisation.Result solution) {
+            if (!solution.getState().isFeasible()) {
+                throw new IllegalStateException("the solver returned " + solution.getState() + " for " + fleet.name());
             }
-            result = of;
+            result = solution;
         }
 
-        private double value(Variable of) {
-            return result.doubleValue(model.indexOf(of));
+        private double value(Variable variable) {
+            return result.doubleValue(model.indexOf(variable));
         }
 
-        Case read(Map<String, Double> served, double floors) {
-            Map<String, Map<String, Double>> to = new TreeMap<>();
-            Map<String, Double> use = new TreeMap<>();
-            List<String> binds = new ArrayList<>();
+        Case result(Map<String, Double> served, double floors) {
+            Map<String, Map<String, Double>> destinations = new TreeMap<>();
+            Map<String, Double> utilization = new TreeMap<>();
+            List<String> binding = new ArrayList<>();
             boolean refuses = served.values().stream().anyMatch(p -> p < 1);
             for (String survivor : survivors) {
-                double work = flow.values().stream().mapToDouble(ways -> value(ways.get(survivor))).sum();
-                use.put(survivor, work / fleet.sites().get(survivor).capacity());
+                double work = flow.values().stream().mapToDouble(bySurvivor -> value(bySurvivor.get(survivor))).sum();
+                utilization.put(survivor, work / fleet.sites().get(survivor).capacity());
                 if (refuses && work >= fleet.sites().get(survivor).usable() * (1 - AT_BOUND)) {
-                    binds.add("all that " + survivor + " may use");
+                    binding.add("the usable capacity of " + survivor);
                 }
             }
-            flow.forEach((from, ways) -> {
-                double all = ways.values().stream().mapToDouble(this::value).sum();
-                double sum = ways.values().stream().mapToDouble(this::value).filter(w -> w >= LEAST_PART * all).sum();
-                Map<String, Double> parts = new TreeMap<>();
-                ways.forEach((survivor, way) -> {
-                    double most = fleet.crossing(from, survivor).most();
-                    if (sum > AT_BOUND && value(way) >= LEAST_PART * all) {
-                        parts.put(survivor, value(way) / sum);
+            flow.forEach((from, bySurvivor) -> {
+                double all = bySurvivor.values().stream().mapToDouble(this::value).sum();
+                double sum = bySurvivor.values().stream().mapToDouble(this::value).filter(w -> w >= MIN_SHARE * all).sum();
+                Map<String, Double> shares = new TreeMap<>();
+                bySurvivor.forEach((survivor, work) -> {
+                    double limit = fleet.crossing(from, survivor).most();
+                    if (sum > AT_BOUND && value(work) >= MIN_SHARE * all) {
+                        shares.put(survivor, value(work) / sum);
                     }
-                    if (refuses && !from.equals(survivor) && most < Double.POSITIVE_INFINITY && value(way) >= most * (1 - AT_BOUND)) {
-                        binds.add("the way from " + from + " to " + survivor);
+                    if (refuses && !from.equals(survivor) && limit < Double.POSITIVE_INFINITY && value(work) >= limit * (1 - AT_BOUND)) {
+                        binding.add("the link from " + from + " to " + survivor);
                     }
                 });
-                if (parts.isEmpty()) {
-                    // Nothing of it is served: where it would go makes no difference, and stays stated.
-                    parts.put(survivors.contains(from) ? from : survivors.get(0), 1.0);
+                if (shares.isEmpty()) {
+                    // None of its work is served, so the destination makes no difference; the file format needs one.
+                    shares.put(survivors.contains(from) ? from : survivors.get(0), 1.0);
                 }
-                to.put(from, parts);
+                destinations.put(from, shares);
             });
-            served.forEach((name, p) -> {
+            served.forEach((name, share) -> {
                 Kind c = fleet.classes().get(name);
-                if (p < 1 && c.floor() > 0 && p <= floors * c.floor() + AT_BOUND) {
-                    binds.add("the floor of " + name);
+                if (share < 1 && c.floor() > 0 && share <= floors * c.floor() + AT_BOUND) {
+                    binding.add("the floor of " + name);
                 }
             });
-            double worth = fleet.classes().entrySet().stream().mapToDouble(c -> served.get(c.getKey()) * c.getValue().worth() * c.getValue().total()).sum();
-            return new Case(survivorsMissing(), served, to, new Evaluation(worth - crossingCost(), use, floors, binds));
+            double worth = fleet.classes().entrySet().stream()
+                .mapToDouble(c -> served.get(c.getKey()) * c.getValue().worth() * c.getValue().totalPerSecond()).sum();
+            return new Case(lostSites(), served, destinations, new Evaluation(worth - linkCost(), utilization, floors, binding));
         }
 
-        private Set<String> survivorsMissing() {
+        private Set<String> lostSites() {
             Set<String> lost = new java.util.TreeSet<>(fleet.sites().keySet());
             survivors.forEach(lost::remove);
             return lost;
--- a/src/test/java/onyxpaddle/site/SiteStateTest.java
+++ b/src/test/java/onyxpaddle/site/SiteStateTest.java
@@ -10,96 +10,103 @@
 import java.util.List;
 import java.util.Set;
 import java.util.function.Supplier;
+import onyxpaddle.site.SiteState.OperatorOverride;
 import onyxpaddle.site.SiteState.Phase;
-import onyxpaddle.site.SiteState.Word;
 import org.junit.jupiter.api.Test;
 
-/** Every order of what can happen to a site, up to a depth, against promises that are counted beside the state machine, not by it. */
+/**
+ * Explores every order of events up to a depth and checks invariants of the state machine against a model kept outside it. Further tests
+ * break one condition of the state machine each and check that the exploration finds the fault.
+ */
 class SiteStateTest {
     private static final long UNIT = 1_000;
     private static final SiteRules RULES = new SiteRules(2, 2 * UNIT, List.of(0.25, 1.0), 4 * UNIT, 2, 0.5, 1_000, 1_500, 750, 16 * UNIT);
     private static final int DEPTH = 9;
 
-    private enum Happens { ANSWER, FAIL_1, FAIL_2, FAIL_1_CUT, FAIL_2_CUT, LIST_NONE, LIST_3, WAIT, WAIT_LONG, WORSEN, HOLD, RELEASE, NO_WORD }
+    private enum Event {
+        ANSWER, FAIL_1, FAIL_2, FAIL_1_ISOLATED, FAIL_2_ISOLATED, LIST_NONE, LIST_3, WAIT, WAIT_LONG, DEGRADE, HOLD, RELEASE, NO_OVERRIDE
+    }
 
-    /** A site, and beside it what the promises rest on. */
+    /** A site, and the model that the invariants are checked against. */
     private static final class Run {
         final SiteState site;
-        final List<String> broken = new ArrayList<>();
+        final List<String> violations = new ArrayList<>();
         long now = 1_000_000;
         long shareSince = now;
         int answersSince;
         final Set<Integer> failedSinceAnswer = new HashSet<>();
-        boolean onlyCut = true;
+        boolean onlyIsolated = true;
         double penalty;
-        long penaltyAt = now;
-        Word word = Word.NONE;
+        long penaltyUpdatedAt = now;
+        OperatorOverride ordered = OperatorOverride.NONE;
 
         Run(SiteState site) {
             this.site = site;
             site.listed(now, 3);
         }
 
-        void step(Happens what) {
+        void step(Event event) {
             Phase before = site.phase();
             double shareBefore = RULES.steps().contains(site.share()) ? site.share() : before == Phase.SOUND ? 1 : 0;
-            now += what == Happens.WAIT ? UNIT : what == Happens.WAIT_LONG ? 4 * UNIT : 0;
-            switch (what) {
+            now += event == Event.WAIT ? UNIT : event == Event.WAIT_LONG ? 4 * UNIT : 0;
+            switch (event) {
                 case ANSWER -> {
                     answersSince++;
                     failedSinceAnswer.clear();
-                    onlyCut = true;
+                    onlyIsolated = true;
                     site.answered(now, "s1");
                 }
-                case FAIL_1, FAIL_2, FAIL_1_CUT, FAIL_2_CUT -> {
-                    boolean cut = what == Happens.FAIL_1_CUT || what == Happens.FAIL_2_CUT;
-                    int server = what == Happens.FAIL_1 || what == Happens.FAIL_1_CUT ? 1 : 2;
+                case FAIL_1, FAIL_2, FAIL_1_ISOLATED, FAIL_2_ISOLATED -> {
+                    boolean isolated = event == Event.FAIL_1_ISOLATED || event == Event.FAIL_2_ISOLATED;
+                    int server = event == Event.FAIL_1 || event == Event.FAIL_1_ISOLATED ? 1 : 2;
                     failedSinceAnswer.add(server);
-                    onlyCut &= cut;
-                    site.unreachable(now, "s" + server, cut);
+                    onlyIsolated &= isolated;
+                    site.unreachable(now, "s" + server, isolated);
                 }
                 case LIST_NONE -> site.listed(now, 0);
                 case LIST_3 -> site.listed(now, 3);
                 case WAIT, WAIT_LONG -> site.tick(now);
-                case WORSEN -> site.survivorsWorsen(now);
-                case HOLD, RELEASE, NO_WORD -> {
-                    word = what == Happens.HOLD ? Word.HOLD : what == Happens.RELEASE ? Word.RELEASE : Word.NONE;
-                    penalty = word == Word.RELEASE ? 0 : penalty;
-                    site.operators(now, word);
+                case DEGRADE -> site.survivorsDegraded(now);
+                case HOLD, RELEASE, NO_OVERRIDE -> {
+                    ordered = event == Event.HOLD ? OperatorOverride.HOLD
+                        : event == Event.RELEASE ? OperatorOverride.RELEASE : OperatorOverride.NONE;
+                    penalty = ordered == OperatorOverride.RELEASE ? 0 : penalty;
+                    site.override(now, ordered);
                 }
             }
-            promises(what, before, shareBefore);
+            checkInvariants(event, before, shareBefore);
         }
 
-        private void promises(Happens what, Phase before, double shareBefore) {
+        private void checkInvariants(Event event, Phase before, double shareBefore) {
             Phase after = site.phase();
-            boolean lost = after == Phase.LOST && before != Phase.LOST && before != Phase.HELD_DOWN && what != Happens.HOLD;
-            if (lost && what != Happens.LIST_NONE && before == Phase.SUSPECTED && failedSinceAnswer.size() < 2) {
-                broken.add("lost by one server");
+            boolean lost = after == Phase.LOST && before != Phase.LOST && before != Phase.HELD_DOWN && event != Event.HOLD;
+            if (lost && event != Event.LIST_NONE && before == Phase.SUSPECTED && failedSinceAnswer.size() < 2) {
+                violations.add("lost because of one server");
             }
-            if (lost && before == Phase.SOUND && what != Happens.LIST_NONE) {
-                broken.add("lost without having been suspected");
+            if (lost && before == Phase.SOUND && event != Event.LIST_NONE) {
+                violations.add("lost without being suspected first");
             }
-            if (lost && before == Phase.SUSPECTED && (what == Happens.FAIL_1_CUT || what == Happens.FAIL_2_CUT)) {
-                broken.add("lost as the own site was cut off");
+            if (lost && before == Phase.SUSPECTED && (event == Event.FAIL_1_ISOLATED || event == Event.FAIL_2_ISOLATED)) {
+                violations.add("lost while the own site was isolated");
             }
-            double decayed = penalty * Math.pow(0.5, (double) (now - penaltyAt) / RULES.halfLife());
+            double decayed = penalty * Math.pow(0.5, (double) (now - penaltyUpdatedAt) / RULES.halfLife());
             if (lost) {
                 penalty = decayed + 1_000;
-                penaltyAt = now;
-            } else if (after == Phase.RETURNING && before == Phase.LOST && what != Happens.RELEASE && decayed >= RULES.suppress()) {
-                broken.add("back in spite of its penalty");
+                penaltyUpdatedAt = now;
+            } else if (after == Phase.RETURNING && before == Phase.LOST && event != Event.RELEASE && decayed >= RULES.suppress()) {
+                violations.add("returning in spite of its penalty");
             }
-            if (word == Word.HOLD && site.share() != 0) {
-                broken.add("not held");
+            if (ordered == OperatorOverride.HOLD && site.share() != 0) {
+                violations.add("a held site gets load");
             }
-            double share = word == Word.HOLD ? shareBefore : site.share();
+            double share = ordered == OperatorOverride.HOLD ? shareBefore : site.share();
             boolean up = before == Phase.RETURNING && (after == Phase.SOUND || after == Phase.RETURNING && share > shareBefore);
             if (up && (now - shareSince < RULES.hold() || answersSince < RULES.answers())) {
-                broken.add("a step too soon");
+                violations.add("next step too soon");
             }
-            if ((before == Phase.LOST || before == Phase.HELD_DOWN) && after == Phase.RETURNING && word != Word.HOLD && share != 0.25) {
-                broken.add("back at " + share);
+            if ((before == Phase.LOST || before == Phase.HELD_DOWN) && after == Phase.RETURNING && ordered != OperatorOverride.HOLD
+                    && share != 0.25) {
+                violations.add("returning at a share of " + share);
             }
             if (before != after || share != shareBefore) {
                 shareSince = now;
@@ -107,94 +114,95 @@
             }
         }
 
-        /** All is well from now on: how many rounds until the site is sound. */
-        int rounds() {
-            step(Happens.NO_WORD);
-            step(Happens.LIST_3);
+        /** Counts the rounds until the site is sound when every call succeeds from now on. */
+        int roundsToRecover() {
+            step(Event.NO_OVERRIDE);
+            step(Event.LIST_3);
             int rounds = 0;
             while (site.phase() != Phase.SOUND && rounds < 100) {
-                step(Happens.ANSWER);
-                step(Happens.ANSWER);
-                step(Happens.WAIT_LONG);
+                step(Event.ANSWER);
+                step(Event.ANSWER);
+                step(Event.WAIT_LONG);
                 rounds++;
             }
             return rounds;
         }
     }
 
-    private record Explored(int states, long moves, Set<String> broken, int mostRounds) {
+    private record Exploration(int states, long moves, Set<String> violations, int maxRounds) {
     }
 
-    private static Run replay(Supplier<SiteState> site, List<Happens> path) {
+    private static Run replay(Supplier<SiteState> site, List<Event> path) {
         Run run = new Run(site.get());
         path.forEach(run::step);
         return run;
     }
 
-    private static Explored explore(Supplier<SiteState> site, int depth) {
+    private static Exploration explore(Supplier<SiteState> site, int depth) {
         Set<String> seen = new HashSet<>();
-        ArrayDeque<List<Happens>> open = new ArrayDeque<>();
+        ArrayDeque<List<Event>> open = new ArrayDeque<>();
         open.add(List.of());
-        Set<String> broken = new HashSet<>();
+        Set<String> violations = new HashSet<>();
         long moves = 0;
-        int most = 0;
+        int maxRounds = 0;
         while (!open.isEmpty()) {
-            List<Happens> path = open.poll();
-            for (Happens next : Happens.values()) {
-                List<Happens> longer = new ArrayList<>(path);
+            List<Event> path = open.poll();
+            for (Event next : Event.values()) {
+                List<Event> longer = new ArrayList<>(path);
                 longer.add(next);
                 Run run = replay(site, longer);
                 moves++;
-                run.broken.forEach(b -> broken.add(b + " by " + longer));
-                String key = run.site.key(run.now) + " " + Math.min(run.now - run.shareSince, 8 * UNIT) + " " + Math.min(run.answersSince, 2) + " "
-                    + run.failedSinceAnswer + " " + run.word;
+                run.violations.forEach(v -> violations.add(v + " by " + longer));
+                String key = run.site.key(run.now) + " " + Math.min(run.now - run.shareSince, 8 * UNIT) + " "
+                    + Math.min(run.answersSince, 2) + " " + run.failedSinceAnswer + " " + run.ordered;
                 if (seen.add(key)) {
-                    most = Math.max(most, run.rounds());
+                    maxRounds = Math.max(maxRounds, run.roundsToRecover());
                     if (longer.size() < depth) {
                         open.add(longer);
                     }
                 }
             }
-            if (broken.size() > 20) {
+            if (violations.size() > 20) {
                 break;
             }
         }
-        return new Explored(seen.size(), moves, broken, most);
+        return new Exploration(seen.size(), moves, violations, maxRounds);
     }
 
     @Test
-    void everyOrderOfEventsKeepsThePromises() {
-        Explored all = explore(() -> new SiteState(RULES), DEPTH);
-        assertEquals(Set.of(), all.broken());
+    void everyOrderOfEventsKeepsTheInvariants() {
+        Exploration all = explore(() -> new SiteState(RULES), DEPTH);
+        assertEquals(Set.of(), all.violations());
         assertTrue(all.states() > 1_000, "explored " + all);
-        // Held down for as long as three losses take to decay (some 2.2 half-lives of 4 rounds each), and then two steps.
-        assertTrue(all.mostRounds() <= 16, "a site for which all is well is sound after " + all.mostRounds() + " rounds at most");
-        System.out.println("explored " + all.states() + " states by " + all.moves() + " moves to depth " + DEPTH + "; sound after " + all.mostRounds() + " rounds");
+        // The hold-down lasts until the penalty of three losses has decayed (about 2.2 half-lives of 4 rounds each); two steps follow.
+        assertTrue(all.maxRounds() <= 16, "a site whose calls all succeed is sound after " + all.maxRounds() + " rounds at most");
+        System.out.println("explored " + all.states() + " states by " + all.moves() + " moves to depth " + DEPTH + "; sound after "
+            + all.maxRounds() + " rounds");
     }
 
     @Test
-    void itFindsASiteThatIsSuspectedForOneServer() {
-        assertFound("lost by one server", () -> new SiteState(RULES) {
+    void findsSuspicionBecauseOfOneServer() {
+        assertFound("lost because of one server", () -> new SiteState(RULES) {
             @Override
-            boolean suspect() {
+            boolean enoughServersFailed() {
                 return true;
             }
         });
     }
 
     @Test
-    void itFindsAStepThatIsNotHeld() {
-        assertFound("a step too soon", () -> new SiteState(RULES) {
+    void findsStepsThatAreTooShort() {
+        assertFound("next step too soon", () -> new SiteState(RULES) {
             @Override
-            boolean enough(long now) {
+            boolean stepCompleted(long now) {
                 return true;
             }
         });
     }
 
     @Test
-    void itFindsAFlapThatIsNotDamped() {
-        assertFound("back in spite of its penalty", () -> new SiteState(RULES) {
+    void findsMissingFlapDamping() {
+        assertFound("returning in spite of its penalty", () -> new SiteState(RULES) {
             @Override
             boolean suppressed(long now) {
                 return false;
@@ -203,12 +211,12 @@
     }
 
     private static void assertFound(String fault, Supplier<SiteState> site) {
-        Explored found = explore(site, DEPTH);
-        assertTrue(found.broken().stream().anyMatch(b -> b.startsWith(fault)), found.toString());
+        Exploration found = explore(site, DEPTH);
+        assertTrue(found.violations().stream().anyMatch(v -> v.startsWith(fault)), found.toString());
     }
 
     @Test
-    void rulesThatMakeNoSense() {
+    void rejectsInvalidRules() {
         assertThrows(IllegalArgumentException.class, () -> new SiteRules(0, 1, List.of(1.0), 1, 1, 0.5, 1, 2, 1, 1));
         assertThrows(IllegalArgumentException.class, () -> new SiteRules(1, 1, List.of(0.5), 1, 1, 0.5, 1, 2, 1, 1));
         assertThrows(IllegalArgumentException.class, () -> new SiteRules(1, 1, List.of(0.5, 0.4, 1.0), 1, 1, 0.5, 1, 2, 1, 1));
--- a/src/test/java/onyxpaddle/siteplan/PlanFilesTest.java
+++ b/src/test/java/onyxpaddle/siteplan/PlanFilesTest.java
@@ -13,14 +13,14 @@
 import java.util.Set;
 import onyxpaddle.command.Lupinmount;
 import onyxpaddle.config.Faults;
-import onyxpaddle.site.Fleet;
 import onyxpaddle.site.FailoverPlan;
+import onyxpaddle.site.Fleet;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The sites' file and the plan's: what they say, that each fault is told with its place, and the commands over them. */
+/** Reading and writing of the sites file and the plan file, the faults reported for them, and the commands that use them. */
 class PlanFilesTest {
     private static final String SITES = """
         version: 1
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void whatTheSitesFileSays() {
+    void readsTheSitesFile() {
         Fleet fleet = fleet();
         assertEquals(1.8, fleet.sites().get("west").usable(), 1e-9);
         assertEquals(2, fleet.work("east"), 1e-9);
@@ -56,58 +56,59 @@
     @CsvSource(delimiter = '|', value = {
         "west: {capacity: 2 | west: {capacity: 0 | sites.west.capacity",
         "{from: east, to: west | {from: east, to: north | s.yaml:7:22: crossing[0].to: there is no site `north`; one of east, west",
-        "{from: east, to: west | {from: east, to: east | is where it comes from",
-        "to: west, most: 1} | to: west} | says nothing of the way",
-        "most: 1} | 'most: 1}\n  - {from: east, to: west, cost: 1}' | the way from east to west is there already",
+        "{from: east, to: west | {from: east, to: east | is the same as `from`",
+        "to: west, most: 1} | to: west} | has neither cost nor limit",
+        "most: 1} | 'most: 1}\n  - {from: east, to: west, cost: 1}' | the link from east to west is a duplicate",
         "worth: 3 | worth: 0 | classes.book.worth",
         "'worth: 3, ' | '' | worth",
         "floor: 0.5 | floor: 1.5 | classes.book.floor",
         "{east: 100} | {esat: 100} | there is no site `esat`",
-        "{east: 100} | {east: 5000} | ask for 52.00 seconds of work a second, and all sites together may use 5.80",
+        "{east: 100} | {east: 5000} | 'need 52.00 seconds of work per second, but all sites together can use only 5.80'",
         "spare: 0.1 | spaer: 0.1 | did you mean `spare`"})
-    void eachFaultOfTheSitesFileIsTold(String good, String bad, String told) {
+    void reportsEachFaultOfTheSitesFile(String good, String bad, String message) {
         Faults faults = new Faults();
         assertNull(SitesReader.text("s.yaml", SITES.replace(good, bad.replace("\\n", "\n")), faults));
-        assertTrue(faults.list().toString().contains(told), faults.list().toString());
+        assertTrue(faults.list().toString().contains(message), faults.list().toString());
     }
 
     @Test
-    void aPlanComesBackAsItWasWritten() {
+    void aWrittenPlanReadsBackEqual() {
         FailoverPlan plan = Planner.plan(fleet());
         Faults faults = new Faults();
         FailoverPlan read = PlanFile.read("p.yaml", PlanFile.text(plan), fleet(), faults);
         assertEquals(List.of(), faults.list());
         for (FailoverPlan.Case c : plan.cases()) {
-            FailoverPlan.Case other = read.lost(c.lost());
+            FailoverPlan.Case other = read.caseFor(c.lost());
             assertEquals(c.lost(), other.lost());
-            c.served().forEach((name, part) -> assertEquals(part, other.served().get(name), 1e-5));
-            c.to().forEach((from, parts) -> parts.forEach((to, part) -> assertEquals(part, other.to().get(from).get(to), 1e-5)));
+            c.served().forEach((name, share) -> assertEquals(share, other.served().get(name), 1e-5));
+            c.destinations().forEach((from, shares) ->
+                shares.forEach((to, share) -> assertEquals(share, other.destinations().get(from).get(to), 1e-5)));
         }
     }
 
     @ParameterizedTest
     @CsvSource(delimiter = '|', value = {
-        "plan: 1 | plan: 2 | p.yaml:2:7: plan: is of another version of the program",
+        "plan: 1 | plan: 2 | p.yaml:2:7: plan: has an unsupported format version",
         "fleet: two | fleet: three | is a plan for `three`; one for `two`",
         "of: \" | of: \"0 | was made for other figures",
-        "lost: [west] | lost: [east] | stands twice",
+        "lost: [west] | lost: [east] | is a duplicate",
         "lost: [west] | lost: [north] | there is no site `north`",
-        "lost: [west] | lost: [east] | say nothing of the loss of west",
-        "book: 1, | '' | does not say what becomes of the class `book`",
+        "lost: [west] | lost: [east] | have no entry for lost sites: west",
+        "book: 1, | '' | has no entry for the class `book`",
         "book: 1, | 'book: 2,' | served.book",
         "east: {east: 1} | east: {east: 0.5} | adds up to 0.5000",
-        "west: {east: 1} | west: {west: 1} | `west` is no survivor of this loss",
+        "west: {east: 1} | west: {west: 1} | `west` is not a survivor of this loss",
         "west: {west: 1} | north: {west: 1} | there is no site `north`"})
-    void eachFaultOfAPlanIsTold(String good, String bad, String told) {
+    void reportsEachFaultOfThePlanFile(String good, String bad, String message) {
         String text = PlanFile.text(Planner.plan(fleet()));
         assertTrue(text.contains(good), good + " is not in " + text);
         Faults faults = new Faults();
         assertNull(PlanFile.read("p.yaml", text.replace(good, bad), fleet(), faults));
-        assertTrue(faults.list().toString().contains(told), faults.list().toString());
+        assertTrue(faults.list().toString().contains(message), faults.list().toString());
     }
 
     @Test
-    void aPlanForOtherFiguresIsNotTaken() {
+    void rejectsAPlanForOtherFigures() {
         String text = PlanFile.text(Planner.plan(fleet().scaled(0.9)));
         Faults faults = new Faults();
         assertNull(PlanFile.read("p.yaml", text, fleet(), faults));
@@ -115,25 +116,25 @@
     }
 
     @Test
-    void theCommandsPlanExplainAndCheck(@TempDir Path folder) throws Exception {
+    void planExplainAndCheckCommands(@TempDir Path folder) throws Exception {
         Path sites = folder.resolve("s.yaml");
         Path plan = folder.resolve("p.yaml");
         Files.writeString(sites, SITES);
-        assertTrue(told(0, "sites", "plan", sites.toString(), "--out", plan.toString()).contains("east"));
-        assertTrue(told(0, "sites", "check", sites.toString(), plan.toString()).contains("was made for them"));
-        String explained = told(0, "sites", "explain", sites.toString(), "--lost", "east");
-        assertTrue(explained.contains("what binds:") && explained.contains("all that west may use"), explained);
-        assertTrue(told(64, "sites", "explain", sites.toString(), "--lost", "north").contains("of east, west"));
-        assertTrue(told(64, "sites", "explain", sites.toString(), "--lost", "east,west").contains("not all of them"));
+        assertTrue(output(0, "sites", "plan", sites.toString(), "--out", plan.toString()).contains("east"));
+        assertTrue(output(0, "sites", "check", sites.toString(), plan.toString()).contains("was made for them"));
+        String explained = output(0, "sites", "explain", sites.toString(), "--lost", "east");
+        assertTrue(explained.contains("binding constraints:") && explained.contains("the usable capacity of west"), explained);
+        assertTrue(output(64, "sites", "explain", sites.toString(), "--lost", "north").contains("of east, west"));
+        assertTrue(output(64, "sites", "explain", sites.toString(), "--lost", "east,west").contains("not all of them"));
         Files.writeString(sites, SITES.replace("capacity: 4", "capacity: 5"));
-        assertTrue(told(78, "sites", "check", sites.toString(), plan.toString()).contains("was made for other figures"));
-        assertTrue(told(78, "sites", "plan", folder.resolve("none.yaml").toString()).contains("there is no such file"));
+        assertTrue(output(78, "sites", "check", sites.toString(), plan.toString()).contains("was made for other figures"));
+        assertTrue(output(78, "sites", "plan", folder.resolve("none.yaml").toString()).contains("there is no such file"));
     }
 
-    private static String told(int code, String... words) {
+    private static String output(int exitCode, String... args) {
         StringWriter out = new StringWriter();
         PrintWriter writer = new PrintWriter(out, true);
-        assertEquals(code, Lupinmount.run(words, writer, writer), out.toString());
+        assertEquals(exitCode, Lupinmount.run(args, writer, writer), out.toString());
         return out.toString();
     }
 
