--- a/src/main/java/onyxpaddle/bridge/AnswerReplacement.java
+++ b/src/main/java/onyxpaddle/bridge/AnswerReplacement.java
@@ -6,13 +6,13 @@
 import onyxpaddle.node.Metadata;
 import onyxpaddle.node.SharedLimit;
 
-/** Puts one answer in the place of another. */
+/** Replaces an answer by one translated to another protocol. */
 final class AnswerReplacement {
     private AnswerReplacement() {
     }
 
-    /** The new answer, with the old one's body released; null where the memory for bodies has no room for it. */
-    static Answer by(Answer old, Metadata head, ByteBuf bytes, SharedLimit.Share share) {
+    /** Releases the old answer's body and returns the new answer; null if the memory for bodies is full. */
+    static Answer replace(Answer old, Metadata head, ByteBuf bytes, SharedLimit.Share share) {
         old.body().release();
         Body body = new Body(share, bytes.readableBytes(), bytes.readableBytes());
         if (!body.add(bytes)) {
--- a/src/main/java/onyxpaddle/bridge/RpcOverHttp.java
+++ b/src/main/java/onyxpaddle/bridge/RpcOverHttp.java
@@ -19,21 +19,20 @@
 import onyxpaddle.rpc.Values;
 
 /**
- * Calls that go to servers of HTTP: {@code POST} to the path that the procedure is mapped to, the parameters' array as
- * body, byte for byte. Of the answers, a body of {@code application/msgpack} with a status of 2xx is the result as it is,
- * any other body of 2xx is a binary result, none is nil; any other status is the application's error {@code {"http":
- * {"status", "type", "body"}}}.
+ * Translates MessagePack-RPC calls for HTTP servers: a {@code POST} to the path that the procedure maps to, with the params array
+ * as its body, unchanged. For a 2xx answer the result is the body itself if it is {@code application/msgpack}, otherwise the body
+ * as binary, or nil if it is empty. Any other status becomes the application error {@code {"http": {"status", "type", "body"}}}.
  */
 public final class RpcOverHttp implements HttpBridge {
     static final String MSGPACK = "application/msgpack";
 
     private final SharedLimit.Share bytes;
-    private final long largest;
+    private final long maxAnswerBytes;
 
-    /** {@code bytes}: the pool's memory for bodies; {@code largest}: the most bytes of one. */
-    public RpcOverHttp(SharedLimit.Share bytes, long largest) {
+    /** {@code bytes}: the pool's share of the memory for bodies; {@code maxAnswerBytes}: the maximum size of an answer's body. */
+    public RpcOverHttp(SharedLimit.Share bytes, long maxAnswerBytes) {
         this.bytes = bytes;
-        this.largest = largest;
+        this.maxAnswerBytes = maxAnswerBytes;
     }
 
     @Override
@@ -45,16 +44,16 @@
         headers.set(HttpHeaderNames.CONTENT_TYPE, MSGPACK);
         headers.set(HttpHeaderNames.ACCEPT, MSGPACK);
         if (call.key() != null) {
-            headers.set("Idempotency-Key", headerText(call.key()));
+            headers.set("Idempotency-Key", encodeKey(call.key()));
         }
         if (call.retry()) {
             headers.set("X-Second-Try", "1");
         }
-        return new HttpRequestHead(HttpMethod.POST, call.mapped(), headers, largest, call.caller());
+        return new HttpRequestHead(HttpMethod.POST, call.mapped(), headers, maxAnswerBytes, call.caller());
     }
 
-    /** A key may be any text; what a header can't hold goes percent-encoded (RFC 3986, 2.1), which keeps keys apart. */
-    private static String headerText(String key) {
+    /** Percent-encodes what a header cannot contain (RFC 3986, 2.1), and {@code %}, so that distinct keys stay distinct. */
+    private static String encodeKey(String key) {
         StringBuilder text = new StringBuilder();
         for (byte b : key.getBytes(java.nio.charset.StandardCharsets.UTF_8)) {
             if (b > ' ' && b < 0x7f && b != '%') {
@@ -93,6 +92,6 @@
                 reply.writeBytes(body);
             }
         }
-        return AnswerReplacement.by(answer, new ReplyHead(errorBytes, failed), reply, bytes);
+        return AnswerReplacement.replace(answer, new ReplyHead(errorBytes, failed), reply, bytes);
     }
 }
--- a/src/main/java/onyxpaddle/http/AnswerDecoder.java
+++ b/src/main/java/onyxpaddle/http/AnswerDecoder.java
@@ -12,66 +12,66 @@
 import java.util.List;
 
 /**
- * Decodes one answer for each request that was sent, and nothing besides. Guards against bytes that belong to no
- * request: a second copy, noise, or an answer sent unasked, which would otherwise wait in the decoder and be taken
- * as the answer to the next request. It should cover whatever a peer sends too much, parsable or not. It costs the
- * connection, so it would do harm where servers were to send ahead, which this protocol does not allow.
+ * Decodes exactly one answer for each request that was sent. Bytes that belong to no request (a duplicate, noise, or an
+ * unsolicited answer), parsable or not, would otherwise stay in the decoder and be taken as the answer to the next request;
+ * they are discarded and reported by {@link #unsolicited}, and cost the connection. That is only safe because the protocol
+ * does not let servers send an answer ahead of its request.
  */
 final class AnswerDecoder extends HttpResponseDecoder {
-    private boolean expecting;
-    private boolean interim;
-    private boolean surplus;
-    private boolean bodiless;
+    private boolean awaitingAnswer;
+    private boolean lastWasInterim;
+    private boolean unsolicited;
+    private boolean headOnly;
     private boolean untilClose;
-    /** The status line is read, and what follows is headers and a body. */
-    private boolean lineRead;
+    /** The status line has been read; headers and body follow. */
+    private boolean statusLineRead;
 
     AnswerDecoder(HttpDecoderConfig config) {
         super(config);
     }
 
-    /** A request is about to be written: its answer may be decoded. {@code bodiless}: it has a head only. */
-    void expect(boolean bodiless) {
-        expecting = true;
-        this.bodiless = bodiless;
+    /** Called before a request is written, to let its answer be decoded. {@code headOnly}: the answer has no body. */
+    void expect(boolean headOnly) {
+        awaitingAnswer = true;
+        this.headOnly = headOnly;
         untilClose = false;
-        lineRead = false;
+        statusLineRead = false;
     }
 
-    /** Netty asks this once a head is read whole, and then whether to read on until the connection ends. */
+    /** Netty calls this once the head is complete, before it decides whether the body extends to the end of the connection. */
     @Override
     protected boolean isContentAlwaysEmpty(HttpMessage message) {
-        boolean empty = bodiless || super.isContentAlwaysEmpty(message);
+        boolean empty = headOnly || super.isContentAlwaysEmpty(message);
         untilClose = !empty && !HttpUtil.isKeepAlive(message) && !HttpUtil.isContentLengthSet(message)
             && !HttpUtil.isTransferEncodingChunked(message);
         return empty;
     }
 
-    /** Whether bytes have come that no request called for. */
-    boolean surplus() {
-        return surplus;
+    /** Whether bytes arrived while no answer was outstanding. */
+    boolean unsolicited() {
+        return unsolicited;
     }
 
     /**
-     * Has heads read by the strict rules for requests: for answers Netty takes a line without a colon, too. A body that
-     * ends with its connection is the one thing that only answers have.
+     * Makes Netty parse headers by its stricter rules for requests: for answers it also accepts a header line without a
+     * colon. A body that is delimited by the end of the connection is the exception, as only answers may have one.
      */
     @Override
     protected boolean isDecodingRequest() {
-        return lineRead && !untilClose;
+        return statusLineRead && !untilClose;
     }
 
-    /** Called with a status line. Up to here an answer may do what a request may not, such as give no reason (RFC 9112, 4). */
+    /** Called with a status line. Up to here the rules for answers apply, for example an empty reason phrase (RFC 9112, 4). */
     @Override
     protected HttpMessage createMessage(String[] initialLine) {
-        lineRead = true;
+        statusLineRead = true;
         return super.createMessage(initialLine);
     }
 
     @Override
     protected void decode(ChannelHandlerContext context, ByteBuf in, List<Object> out) throws Exception {
-        if (!expecting) {
-            surplus |= in.isReadable();
+        if (!awaitingAnswer) {
+            unsolicited |= in.isReadable();
             in.skipBytes(in.readableBytes());
             return;
         }
@@ -79,11 +79,11 @@
         super.decode(context, in, out);
         for (int i = before; i < out.size(); i++) {
             if (out.get(i) instanceof HttpResponse response) {
-                interim = response.status().codeClass() == HttpStatusClass.INFORMATIONAL;
+                lastWasInterim = response.status().codeClass() == HttpStatusClass.INFORMATIONAL;
             }
             if (out.get(i) instanceof LastHttpContent) {
-                expecting = interim;
-                lineRead = false;
+                awaitingAnswer = lastWasInterim;
+                statusLineRead = false;
             }
         }
     }
--- a/src/main/java/onyxpaddle/http/AnswerHead.java
+++ b/src/main/java/onyxpaddle/http/AnswerHead.java
@@ -5,10 +5,10 @@
 import onyxpaddle.node.Metadata;
 
 /**
- * The head of an answer as it goes to the caller, but for the headers that frame its body.
+ * The head of an answer as it goes to the caller, without the headers that frame its body.
  *
- * @param bodiless there is no body by the nature of the answer, and its headers stay as they are: a Content-Length
- *     among them speaks of the body that another request would have had
+ * @param bodiless the answer never has a body (a HEAD request, 204 or 304) and its headers are kept unchanged: a
+ *     Content-Length among them is that of the body which a GET would have returned
  */
 public record AnswerHead(HttpResponseStatus status, HttpHeaders headers, boolean bodiless) implements Metadata {
 }
--- a/src/main/java/onyxpaddle/http/BodyRelay.java
+++ b/src/main/java/onyxpaddle/http/BodyRelay.java
@@ -9,38 +9,38 @@
 import onyxpaddle.node.Clock;
 import onyxpaddle.node.Upload;
 
-/** A request's body on its way to a server as it comes: reading stops at its source while the server takes nothing. */
+/** Streams a request's body to a server. Applies back-pressure: the source stops reading while the channel is not writable. */
 final class BodyRelay implements Upload.Sink {
     private final Upload upload;
     private final Channel channel;
     private final Clock clock;
     private final Consumer<ChannelFuture> onLast;
     private final Runnable onAborted;
-    private long movedAt;
+    private long lastProgressAt;
 
-    /** {@code onLast}: gets the write of the body's last byte; {@code onAborted}: the rest never comes. */
+    /** {@code onLast}: receives the write of the body's last byte; {@code onAborted}: called if the rest will never arrive. */
     BodyRelay(Upload upload, Channel channel, Clock clock, Consumer<ChannelFuture> onLast, Runnable onAborted) {
         this.upload = upload;
         this.channel = channel;
         this.clock = clock;
         this.onLast = onLast;
         this.onAborted = onAborted;
-        this.movedAt = clock.now();
+        this.lastProgressAt = clock.now();
     }
 
-    /** Sends what is held, and what comes from now on. */
-    void start(ByteBuf held) {
-        if (upload.whole()) {
-            take(held, true);
+    /** Sends the buffered part, and then what arrives from now on. */
+    void start(ByteBuf buffered) {
+        if (upload.complete()) {
+            take(buffered, true);
         } else {
-            channel.writeAndFlush(new DefaultHttpContent(held));
+            channel.writeAndFlush(new DefaultHttpContent(buffered));
             upload.attach(this);
         }
     }
 
     @Override
     public void take(ByteBuf more, boolean last) {
-        movedAt = clock.now();
+        lastProgressAt = clock.now();
         if (last) {
             onLast.accept(channel.writeAndFlush(new DefaultLastHttpContent(more)));
             return;
@@ -53,16 +53,16 @@
     }
 
     void writabilityChanged() {
-        movedAt = clock.now();
+        lastProgressAt = clock.now();
         upload.setWritable(this, channel.isWritable());
     }
 
-    /** The server has taken nothing for so long. */
-    boolean stalls(long now, long longest) {
-        return !channel.isWritable() && now - movedAt > longest;
+    /** Whether the server has accepted no data for longer than {@code timeout} nanoseconds. */
+    boolean stalled(long now, long timeout) {
+        return !channel.isWritable() && now - lastProgressAt > timeout;
     }
 
-    /** The attempt takes no more of it. */
+    /** Stops sending: the attempt has ended. */
     void detach() {
         upload.detach(this);
     }
--- a/src/main/java/onyxpaddle/http/ClientConnection.java
+++ b/src/main/java/onyxpaddle/http/ClientConnection.java
@@ -40,94 +40,98 @@
 import onyxpaddle.socket.PollableChannel;
 
 /**
- * One client connection. It reads a request whole before it is taken, and gives it one answer. Requests on a
- * connection are dealt with one at a time; of what is sent ahead a little waits. A client that breaks the protocol
- * is told so and let go of: where its next request would begin can't be known.
+ * One client connection. Requests are processed one at a time, each with one answer; a bounded number of pipelined ones is
+ * queued. A body is buffered whole if it is small enough and streamed otherwise, see {@link IncomingBody}. After a
+ * protocol error the client gets an error status and the connection is closed, as the start of the next request is unknown.
  */
 final class ClientConnection extends ChannelInboundHandlerAdapter implements Caller, FrontConnection {
     private static final long SECOND = 1_000_000_000L;
     /**
-     * How long a request may take to come whole, from its first byte, or from the connect for the first one. A head
-     * may take 2 s and 64 KiB come at 64 kB/s; nobody is left without a word for 3 s.
+     * Time limit for receiving a request, from its first byte, or from the accept for the first one. Clients are allowed
+     * 2 s for a head and send 64 KiB at 64 kB/s; no client may be left without an answer for 3 s.
      */
-    private static final long LONGEST_REQUEST = 2_400_000_000L;
-    /** How long a client may leave an answer unread; and take nothing of one that is passed on as it comes. */
-    private static final long LONGEST_UNREAD = 5 * SECOND;
-    private static final long LONGEST_UNREAD_PASSING = 60 * SECOND;
-    /** What is read off after the last answer, so that closing does not reset it away. */
-    private static final long LINGER = SECOND;
-    private static final int MOST_READ_OFF = 256 * 1024;
-    /** Decoded parts that wait for the request before them: some requests sent ahead, not hundreds. */
-    private static final int MOST_AHEAD = 32;
-    /** And their bodies, in bytes: from there on the client is read no further until its answer is given. */
-    private static final int MOST_BYTES_AHEAD = 2 * SocketBuffers.READ_SIZE;
+    private static final long REQUEST_TIMEOUT_NANOS = 2_400_000_000L;
+    /** How long a client may read nothing of an answer, buffered or streamed. */
+    private static final long UNREAD_TIMEOUT_NANOS = 5 * SECOND;
+    private static final long STREAMED_UNREAD_TIMEOUT_NANOS = 60 * SECOND;
+    /** Lingering close: input is discarded for so long after the last answer, as closing with unread input resets the connection. */
+    private static final long LINGER_NANOS = SECOND;
+    private static final int MAX_DISCARDED_BYTES = 256 * 1024;
+    /** Decoded parts that are queued behind the current request: enough for a few pipelined requests, not hundreds. */
+    private static final int MAX_PIPELINED_PARTS = 32;
+    /** Bytes of queued bodies above which reading stops until the current request is answered. */
+    private static final int MAX_PIPELINED_BYTES = 2 * SocketBuffers.READ_SIZE;
 
     enum State {
         /** Between requests. */
         IDLE,
-        /** A request's first byte has come, its last has not. */
+        /** A request has been received in part. */
         RECEIVING,
-        /** A request is taken and has no answer yet. */
+        /** A request has been received whole and has no answer yet. */
         WAITING,
-        /** The last answer is given; what still comes is read off until the client closes. */
+        /** The last answer has been written; further input is discarded until the client closes. */
         CLOSING
     }
 
-    private final HttpFront all;
+    private final HttpFront front;
     private final PollableChannel channel;
-    private final ArrayDeque<Object> ahead = new ArrayDeque<>();
-    private int bytesAhead;
-    /** More was sent ahead than waits: what has been begun is answered, nothing after it is taken. */
-    private boolean overrun;
+    private final ArrayDeque<Object> pipelined = new ArrayDeque<>();
+    private int pipelinedBytes;
+    /** The client pipelined more than is queued: the current request is answered, later ones are not processed. */
+    private boolean pipelineOverflow;
     private State state = State.IDLE;
     private final long acceptedAt;
-    /** When it came, at the earliest: it may have waited to be accepted. */
-    private final long came;
-    private long since;
-    private long readOff;
-    private boolean anyRequest;
-    /** The request is a question for the node itself, whether it is ready. */
-    private boolean readiness;
-    /** The request is a HEAD: what answers it has no body, whatever its headers say. */
+    /** Lower bound of when the connection was established: it may have waited in the backlog. */
+    private final long connectionArrival;
+    private long stateSince;
+    private long discarded;
+    private boolean hadRequest;
+    /** The current request asks whether the node is ready, and is answered by the node itself. */
+    private boolean readinessCheck;
+    /** The current request is a HEAD: its answer has no body, whatever the headers say. */
     private boolean headOnly;
-    /** The body of the request that comes; null before and after. */
+    /** The body being received; null before and after. */
     private IncomingBody incoming;
-    /** The request that is taken and waits for its answer, or null. */
+    /** The request that waits for its answer; null for none. */
     private Exchange exchange;
-    /** The answer that is being passed on; null for none. */
-    private StreamedAnswer passing;
-    /** Among the answers that the client has not read is one that was passed on as it came. */
-    private boolean longAnswer;
-    private RoutedRequest taken;
+    /** The answer being streamed to the client; null for none. */
+    private StreamedAnswer streamed;
+    /** At least one of the answers whose writes are pending was streamed. */
+    private boolean unreadStreamed;
+    /** The current request as read from its head; null before that, if the head was rejected, and for a readiness check. */
+    private RoutedRequest routed;
     private boolean keepAlive;
     private HttpVersion version = HttpVersion.HTTP_1_1;
-    private long unreadSince;
-    private int unread;
+    private long lastWriteProgress;
+    private int pendingWrites;
 
-    ClientConnection(HttpFront all, PollableChannel channel) {
-        this.all = all;
+    ClientConnection(HttpFront front, PollableChannel channel) {
+        this.front = front;
         this.channel = channel;
-        this.acceptedAt = all.now();
-        this.came = all.clock().earliestArrival();
-        this.since = acceptedAt;
+        this.acceptedAt = front.now();
+        this.connectionArrival = front.clock().earliestArrival();
+        this.stateSince = acceptedAt;
     }
 
-    /** When the bytes at hand came, at the earliest: those of the turn after the accept may have come with the connection. */
+    /**
+     * Lower bound of the arrival time of the bytes that were just read. Bytes read in the loop iteration after the accept may
+     * have arrived together with the connection.
+     */
     private long earliestArrival() {
-        long since = all.clock().earliestArrival();
-        return since <= acceptedAt ? came : since;
+        long earliest = front.clock().earliestArrival();
+        return earliest <= acceptedAt ? connectionArrival : earliest;
     }
 
-    /** Sees bytes before they are parsed: a head that trickles in, and what comes after the last answer. */
-    ChannelHandler byteWatch() {
+    /** Sees bytes before the decoder: notices the first byte of a request and discards input after the last answer. */
+    ChannelHandler rawByteHandler() {
         return new ChannelInboundHandlerAdapter() {
             @Override
             public void channelRead(ChannelHandlerContext context, Object message) {
-                if (state == State.CLOSING || overrun) {
-                    readOff += ((ByteBuf) message).readableBytes();
+                if (state == State.CLOSING || pipelineOverflow) {
+                    discarded += ((ByteBuf) message).readableBytes();
                     ReferenceCountUtil.release(message);
-                    if (readOff > MOST_READ_OFF) {
-                        // It has its last answer before it, and the rest of its time to read it.
+                    if (discarded > MAX_DISCARDED_BYTES) {
+                        // Only stops reading: the client keeps the rest of the linger time to read its last answer.
                         channel.config().setAutoRead(false);
                     }
                     return;
@@ -147,117 +151,117 @@
 
     private void enter(State next) {
         state = next;
-        if (next != State.RECEIVING || anyRequest) {
-            since = all.now();
+        if (next != State.RECEIVING || hadRequest) {
+            stateSince = front.now();
         }
-        all.entered(this, next);
+        front.stateChanged(this, next);
     }
 
     // ---- requests ----
 
     @Override
     public void channelActive(ChannelHandlerContext context) {
-        all.opened(this);
-        all.entered(this, state);
+        front.opened(this);
+        front.stateChanged(this, state);
     }
 
     @Override
     public void channelRead(ChannelHandlerContext context, Object message) {
-        if (state == State.CLOSING || overrun) {
+        if (state == State.CLOSING || pipelineOverflow) {
             ReferenceCountUtil.release(message);
-        } else if (!mustWait()) {
-            take(message);
-        } else if (ahead.size() >= MOST_AHEAD) {
-            // Too much sent ahead: the request at hand is still answered, and is the last.
-            overrun = true;
-            dropAhead();
+        } else if (!mustQueue()) {
+            handle(message);
+        } else if (pipelined.size() >= MAX_PIPELINED_PARTS) {
+            // The client pipelines too much: the current request is answered, and is the last.
+            pipelineOverflow = true;
+            dropPipelined();
             ReferenceCountUtil.release(message);
         } else {
-            // It is read on, within bounds, so that its close is seen: what is sent on for it then would be for nobody.
-            ahead.add(message);
-            bytesAhead += message instanceof HttpContent content ? content.content().readableBytes() : 0;
-            if (bytesAhead >= MOST_BYTES_AHEAD) {
+            // Reading continues within bounds to notice a close by the client, so that no further attempts are made for it.
+            pipelined.add(message);
+            pipelinedBytes += message instanceof HttpContent content ? content.content().readableBytes() : 0;
+            if (pipelinedBytes >= MAX_PIPELINED_BYTES) {
                 channel.config().setAutoRead(false);
             }
         }
     }
 
-    private void dropAhead() {
-        ahead.forEach(ReferenceCountUtil::release);
-        ahead.clear();
-        bytesAhead = 0;
+    private void dropPipelined() {
+        pipelined.forEach(ReferenceCountUtil::release);
+        pipelined.clear();
+        pipelinedBytes = 0;
     }
 
-    private boolean mustWait() {
-        return !ahead.isEmpty() || state == State.WAITING || !channel.isWritable();
+    private boolean mustQueue() {
+        return !pipelined.isEmpty() || state == State.WAITING || !channel.isWritable();
     }
 
-    /** Goes on with what was sent ahead; a client that reads no answers gets no further ones. */
-    private void goOn() {
-        while (!ahead.isEmpty() && state != State.WAITING && channel.isWritable()) {
-            take(ahead.poll());
+    /** Processes queued parts, as long as the client reads its answers. */
+    private void processPipelined() {
+        while (!pipelined.isEmpty() && state != State.WAITING && channel.isWritable()) {
+            handle(pipelined.poll());
         }
-        if (overrun && state == State.IDLE) {
+        if (pipelineOverflow && state == State.IDLE) {
             linger();
-        } else if (ahead.isEmpty()) {
-            readOn();
+        } else if (pipelined.isEmpty()) {
+            resumeReading();
         }
     }
 
-    /** Nothing that was read waits any more: more is read, unless a body waits for the server that takes it. */
-    private void readOn() {
-        bytesAhead = 0;
-        if (incoming == null || !incoming.pauses()) {
+    /** Resumes reading once the queue is empty, unless a streamed body is paused by back-pressure from its server. */
+    private void resumeReading() {
+        pipelinedBytes = 0;
+        if (incoming == null || !incoming.paused()) {
             channel.config().setAutoRead(true);
         }
     }
 
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext context) {
-        if (passing != null) {
-            passing.writabilityChanged();
+        if (streamed != null) {
+            streamed.writabilityChanged();
         } else if (channel.isWritable()) {
-            goOn();
+            processPipelined();
         }
     }
 
-    private void take(Object message) {
+    private void handle(Object message) {
         try {
             if (message instanceof HttpObject part && part.decoderResult().isFailure()) {
-                reject(malformed(part.decoderResult().cause()));
+                reject(statusFor(part.decoderResult().cause()));
                 return;
             }
             if (message instanceof HttpRequest request && state != State.CLOSING) {
-                head(request);
+                handleHead(request);
             }
             if (message instanceof HttpContent content && state == State.RECEIVING) {
-                content(content);
+                handleContent(content);
             }
         } finally {
             ReferenceCountUtil.release(message);
         }
     }
 
-    private void head(HttpRequest request) {
+    private void handleHead(HttpRequest request) {
         if (state == State.IDLE) {
             enter(State.RECEIVING);
         }
         version = request.protocolVersion().majorVersion() == 1 ? request.protocolVersion() : HttpVersion.HTTP_1_1;
         keepAlive = HttpUtil.isKeepAlive(request);
         headOnly = request.method().equals(HttpMethod.HEAD);
-        taken = null;
-        readiness = all.dialect.isReadinessCheck(request);
-        if (readiness) {
+        routed = null;
+        readinessCheck = front.dialect.isReadinessCheck(request);
+        if (readinessCheck) {
             return;
         }
         try {
-            taken = all.dialect.read(request, channel.remoteAddress());
-            if (all.nearConnectionLimit() || tooLate()) {
-                // Nothing of it was sent on: another node may take it.
+            routed = front.dialect.read(request, channel.remoteAddress());
+            if (front.nearConnectionLimit() || cannotAnswerInTime()) {
+                // Nothing was sent to a server, so the client may safely retry on another node.
                 reject(HttpResponseStatus.SERVICE_UNAVAILABLE);
                 return;
             }
-            incoming = new IncomingBody(taken, channel, all.clock(), this, this::bodyPassedOn);
+            incoming = new IncomingBody(routed, channel, front.clock(), this, this::streamedBodyComplete);
             if (HttpUtil.is100ContinueExpected(request)) {
                 channel.writeAndFlush(new DefaultFullHttpResponse(version, HttpResponseStatus.CONTINUE,
                     Unpooled.EMPTY_BUFFER));
@@ -268,48 +272,48 @@
     }
 
     /**
-     * Whether the node goes, or is empty, before the request could have its answer. Its time counts from its last byte, so it is
-     * asked until that has come: a head that came in time says nothing of a body that takes seconds.
+     * Whether the node will have stopped or be fully drained before the request could be answered. The request's time counts
+     * from its last byte, so this is checked until that has arrived: a body may take seconds after a timely head.
      */
-    private boolean tooLate() {
-        return all.rejectsIncomplete() || taken != null && !all.canAnswerBeforeExit(taken.terms().callerTimeout());
+    private boolean cannotAnswerInTime() {
+        return front.rejectsIncomplete() || routed != null && !front.canAnswerBeforeExit(routed.terms().callerTimeout());
     }
 
-    private void content(HttpContent content) {
+    private void handleContent(HttpContent content) {
         boolean last = content instanceof LastHttpContent;
-        if (readiness) {
+        if (readinessCheck) {
             if (last) {
-                answer(all.ready() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE, 0);
+                answer(front.ready() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE, 0);
             }
             return;
         }
-        if (last && tooLate()) {
+        if (last && cannotAnswerInTime()) {
             reject(HttpResponseStatus.SERVICE_UNAVAILABLE);
             return;
         }
         switch (incoming.add(content.content(), last)) {
-            case MORE -> { }
-            case WHOLE -> {
-                arrived();
-                taken.pool().arrived(exchange, earliestArrival());
+            case INCOMPLETE -> { }
+            case COMPLETE -> {
+                requestComplete();
+                routed.pool().arrived(exchange, earliestArrival());
             }
             case TOO_LARGE -> reject(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
-            case NO_ROOM -> reject(HttpResponseStatus.SERVICE_UNAVAILABLE);
-            case UNSOUND -> reject(HttpResponseStatus.BAD_REQUEST);
+            case NO_MEMORY -> reject(HttpResponseStatus.SERVICE_UNAVAILABLE);
+            case INVALID -> reject(HttpResponseStatus.BAD_REQUEST);
         }
     }
 
-    /** The request's last byte has come. */
-    private void arrived() {
+    /** The request's last byte has arrived. */
+    private void requestComplete() {
         exchange = incoming.exchange();
         incoming = null;
-        anyRequest = true;
+        hadRequest = true;
         enter(State.WAITING);
     }
 
-    private void bodyPassedOn() {
-        arrived();
-        // That the client leaves must be noticed.
+    private void streamedBodyComplete() {
+        requestComplete();
+        // Reading must go on to notice that the client disconnects.
         channel.config().setAutoRead(true);
     }
 
@@ -320,20 +324,20 @@
         }
     }
 
-    private static HttpResponseStatus malformed(Throwable cause) {
+    private static HttpResponseStatus statusFor(Throwable cause) {
         return cause instanceof TooLongHttpLineException ? HttpResponseStatus.REQUEST_URI_TOO_LONG
             : cause instanceof TooLongHttpHeaderException ? HttpResponseStatus.REQUEST_HEADER_FIELDS_TOO_LARGE
             : HttpResponseStatus.BAD_REQUEST;
     }
 
-    /** Turns away what was never taken, and lets go of the client. */
+    /** Rejects a request that was not received whole, and closes the connection after the answer. */
     private void reject(HttpResponseStatus status) {
         keepAlive = false;
         dropIncoming();
-        if (taken != null) {
+        if (routed != null) {
             boolean busy = status.equals(HttpResponseStatus.SERVICE_UNAVAILABLE);
-            taken.pool().countResult(taken.terms(), busy ? RequestCounts.RequestResult.BUSY : RequestCounts.RequestResult.FAILURE);
-            taken = null;
+            routed.pool().countResult(routed.terms(), busy ? RequestCounts.RequestResult.BUSY : RequestCounts.RequestResult.FAILURE);
+            routed = null;
         }
         answer(status, 0);
     }
@@ -363,31 +367,31 @@
         } else {
             keepAlive = false;
         }
-        HttpUtil.setKeepAlive(response, keepsAlive());
+        HttpUtil.setKeepAlive(response, updateKeepAlive());
         channel.write(response);
-        moved();
-        longAnswer = true;
-        passing = new StreamedAnswer(this, channel, source);
-        return passing;
+        recordProgress();
+        unreadStreamed = true;
+        streamed = new StreamedAnswer(this, channel, source);
+        return streamed;
     }
 
-    /** The client has taken a part of an answer. */
-    void moved() {
-        unreadSince = all.now();
+    /** Called when the socket has accepted a part of an answer. */
+    void recordProgress() {
+        lastWriteProgress = front.now();
     }
 
-    /** An answer is passed on whole; {@code last}: the write of its end. */
-    void passed(ChannelFuture last) {
-        passing = null;
-        sent(last);
-        answered();
+    /** Called when a streamed answer is complete; {@code last}: the write of its end. */
+    void streamComplete(ChannelFuture last) {
+        streamed = null;
+        trackWrite(last);
+        answerDone();
     }
 
     @Override
     public void served(Answer answer) {
         ByteBuf body = answer.body().size() > 0 ? answer.body().whole() : Unpooled.EMPTY_BUFFER;
         AnswerHead head = (AnswerHead) answer.head();
-        finish(new DefaultFullHttpResponse(version, head.status(), body, head.headers(), EmptyHttpHeaders.INSTANCE),
+        sendAnswer(new DefaultFullHttpResponse(version, head.status(), body, head.headers(), EmptyHttpHeaders.INSTANCE),
             head.bodiless());
     }
 
@@ -411,61 +415,61 @@
 
     private void answer(HttpResponseStatus status, long retryAfter) {
         HttpHeaders headers = DefaultHttpHeadersFactory.headersFactory().newHeaders();
-        String text = all.dialect.localAnswer(status, retryAfter, headers);
+        String text = front.dialect.localAnswer(status, retryAfter, headers);
         ByteBuf body = text.isEmpty() || headOnly ? Unpooled.EMPTY_BUFFER
             : Unpooled.copiedBuffer(text, StandardCharsets.UTF_8);
-        finish(new DefaultFullHttpResponse(version, status, body, headers, EmptyHttpHeaders.INSTANCE), headOnly);
+        sendAnswer(new DefaultFullHttpResponse(version, status, body, headers, EmptyHttpHeaders.INSTANCE), headOnly);
     }
 
-    private void finish(DefaultFullHttpResponse response, boolean bodiless) {
+    private void sendAnswer(DefaultFullHttpResponse response, boolean bodiless) {
         if (!bodiless) {
             response.headers().set(HttpHeaderNames.CONTENT_LENGTH, response.content().readableBytes());
         }
         if (incoming != null) {
-            // The rest of its body is of no use to anyone.
-            incoming.answered();
+            // The request was answered before its body was complete: the rest is not read, so the connection cannot be reused.
+            incoming.abandonRest();
             incoming = null;
             keepAlive = false;
         }
-        HttpUtil.setKeepAlive(response, keepsAlive());
-        longAnswer &= unread > 0;
-        sent(channel.writeAndFlush(response));
-        answered();
+        HttpUtil.setKeepAlive(response, updateKeepAlive());
+        unreadStreamed &= pendingWrites > 0;
+        trackWrite(channel.writeAndFlush(response));
+        answerDone();
     }
 
-    private void answered() {
+    private void answerDone() {
         exchange = null;
-        taken = null;
+        routed = null;
         if (!keepAlive) {
             linger();
             return;
         }
         enter(State.IDLE);
-        if (ahead.isEmpty()) {
-            readOn();
+        if (pipelined.isEmpty()) {
+            resumeReading();
         } else {
-            channel.eventLoop().execute(this::goOn);
+            channel.eventLoop().execute(this::processPipelined);
         }
     }
 
-    private boolean keepsAlive() {
-        keepAlive &= !overrun && all.keepsConnections();
+    private boolean updateKeepAlive() {
+        keepAlive &= !pipelineOverflow && front.keepsConnections();
         return keepAlive;
     }
 
-    private void sent(ChannelFuture write) {
-        unread++;
-        moved();
-        write.addListener(f -> unread--);
+    private void trackWrite(ChannelFuture write) {
+        pendingWrites++;
+        recordProgress();
+        write.addListener(f -> pendingWrites--);
     }
 
     /**
-     * Ends the connection so that the answer still reaches the client: closing with bytes unread would reset it
-     * and take the answer along.
+     * Shuts down output and discards input until the client closes: closing with unread input resets the connection, which
+     * could destroy the answer before the client has read it.
      */
     private void linger() {
         enter(State.CLOSING);
-        dropAhead();
+        dropPipelined();
         channel.config().setAutoRead(true);
         channel.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(f -> channel.shutdownOutput());
     }
@@ -474,7 +478,7 @@
 
     @Override
     public boolean waits() {
-        return state == State.WAITING || incoming != null && incoming.passing() || unread > 0 || !ahead.isEmpty();
+        return state == State.WAITING || incoming != null && incoming.streaming() || pendingWrites > 0 || !pipelined.isEmpty();
     }
 
     @Override
@@ -484,47 +488,47 @@
 
     @Override
     public boolean left(boolean unseen) {
-        boolean unread = unseen || !channel.config().isAutoRead();
-        return unread ? channel.poll() == PollableChannel.PollResult.END : !channel.isActive();
+        boolean closeMayBeUnread = unseen || !channel.config().isAutoRead();
+        return closeMayBeUnread ? channel.poll() == PollableChannel.PollResult.END : !channel.isActive();
     }
 
     @Override
     public boolean uses(Dispatcher pool) {
-        return (exchange != null || incoming != null) && taken.pool() == pool;
+        return (exchange != null || incoming != null) && routed.pool() == pool;
     }
 
     @Override
     public void compensateStall(long span, long now) {
-        since = Math.min(now, since + span);
-        unreadSince = Math.min(now, unreadSince + span);
+        stateSince = Math.min(now, stateSince + span);
+        lastWriteProgress = Math.min(now, lastWriteProgress + span);
     }
 
     @Override
     public void sweep(long now) {
-        long spent = now - since;
+        long elapsed = now - stateSince;
         switch (state) {
             case IDLE -> {
-                // A request that has come and is unread would be reset with it, and an answer on its way cut.
-                if ((spent > all.idleTimeout(anyRequest) || all.closesIdle(since, now)) && safeToClose()) {
+                // Closing over an unread request or an unsent answer would lose it.
+                if ((elapsed > front.idleTimeout(hadRequest) || front.closesIdle(stateSince, now)) && safeToClose()) {
                     close();
                 }
             }
             case RECEIVING -> {
-                if (incoming == null ? spent > LONGEST_REQUEST : incoming.late(spent, LONGEST_REQUEST)) {
+                if (incoming == null ? elapsed > REQUEST_TIMEOUT_NANOS : incoming.timedOut(elapsed, REQUEST_TIMEOUT_NANOS)) {
                     reject(HttpResponseStatus.REQUEST_TIMEOUT);
-                } else if (tooLate()) {
+                } else if (cannotAnswerInTime()) {
                     reject(HttpResponseStatus.SERVICE_UNAVAILABLE);
                 }
             }
             case CLOSING -> {
-                if (spent > LINGER && unread == 0) {
+                if (elapsed > LINGER_NANOS && pendingWrites == 0) {
                     close();
                 }
             }
             case WAITING -> { }
         }
-        long longest = longAnswer ? LONGEST_UNREAD_PASSING : LONGEST_UNREAD;
-        if ((unread > 0 || !channel.isWritable()) && now - unreadSince > longest) {
+        long timeout = unreadStreamed ? STREAMED_UNREAD_TIMEOUT_NANOS : UNREAD_TIMEOUT_NANOS;
+        if ((pendingWrites > 0 || !channel.isWritable()) && now - lastWriteProgress > timeout) {
             close();
         }
     }
@@ -533,11 +537,11 @@
     public void channelInactive(ChannelHandlerContext context) {
         State before = state;
         state = State.CLOSING;
-        all.closed(this);
-        dropAhead();
+        front.closed(this);
+        dropPipelined();
         if (before == State.WAITING && exchange != null) {
-            passing = null;
-            taken.pool().clientGone(exchange);
+            streamed = null;
+            routed.pool().clientGone(exchange);
         }
         dropIncoming();
         exchange = null;
@@ -546,7 +550,7 @@
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
         if (!(cause instanceof java.io.IOException)) {
-            Log.failure("connection from a client", cause);
+            Log.failure("client connection", cause);
         }
         close();
     }
--- a/src/main/java/onyxpaddle/http/HttpBridge.java
+++ b/src/main/java/onyxpaddle/http/HttpBridge.java
@@ -3,9 +3,9 @@
 import onyxpaddle.node.Answer;
 import onyxpaddle.node.Exchange;
 
-/** Lets requests of another protocol go to servers that speak this one. */
+/** Translates requests of another protocol for HTTP servers, and their answers back. */
 public interface HttpBridge {
-    /** For requests of this protocol alone. */
+    /** No translation, for pools that only receive HTTP requests. */
     HttpBridge NONE = new HttpBridge() {
         @Override
         public HttpRequestHead head(Exchange exchange) {
@@ -18,12 +18,12 @@
         }
     };
 
-    /** The request as it goes to a server. */
+    /** The head of the HTTP request to send. */
     HttpRequestHead head(Exchange exchange);
 
     /**
-     * The answer, whose head is an {@link AnswerHead}, as it goes to the caller; it takes the place of the one given. Null
-     * where there is no room for it.
+     * Converts an answer, whose head is an {@link AnswerHead}, for the caller. The returned answer replaces the given one;
+     * null if the memory for bodies is full.
      */
     Answer answer(Exchange exchange, Answer answer);
 }
--- a/src/main/java/onyxpaddle/http/HttpFront.java
+++ b/src/main/java/onyxpaddle/http/HttpFront.java
@@ -11,29 +11,29 @@
 import onyxpaddle.node.SocketBuffers;
 import onyxpaddle.socket.PollableChannel;
 
-/** The front for HTTP/1.1: which of its connections are idle, and what they are told as the node empties. */
+/** The front for HTTP/1.1. Tracks idle and incomplete connections, and applies the drain rules of the node to them. */
 public final class HttpFront extends ListeningFront<ClientConnection> {
-    private static final int LONGEST_LINE = 8 * 1024;
-    private static final int LONGEST_HEAD = 16 * 1024;
+    private static final int MAX_INITIAL_LINE_BYTES = 8 * 1024;
+    private static final int MAX_HEADER_BYTES = 16 * 1024;
     private static final long SWEEP_MS = 250;
-    /** Idle connections of a front that is gone for its clients. */
-    private static final long RETIRED_IDLE = 5_000_000_000L;
+    /** Limit for idle connections once the front's listener has been removed. */
+    private static final long RETIRED_IDLE_TIMEOUT_NANOS = 5_000_000_000L;
 
     RequestDialect dialect;
     private final BooleanSupplier ready;
-    /** Connections whose request is not whole, or whose last answer is given, the longest so first. */
+    /** Connections that are receiving a request or closing, in the order in which they entered that state. */
     private final LinkedHashSet<ClientConnection> unfinished = new LinkedHashSet<>();
-    /** Connections between requests, the one that has been so for the longest first. */
+    /** Connections between requests, the longest idle first. */
     private final LinkedHashSet<ClientConnection> idle = new LinkedHashSet<>();
 
-    /** {@code dialect}: null where {@link #use} gives it before {@link #open}; {@code ready}: whether requests can be served. */
-    public HttpFront(Surroundings around, RequestDialect dialect, BooleanSupplier ready) {
+    /** {@code dialect}: may be null if {@link #use} sets it before {@link #open}; {@code ready}: whether requests can be served. */
+    public HttpFront(SharedResources around, RequestDialect dialect, BooleanSupplier ready) {
         super(around, SWEEP_MS, new WriteBufferWaterMark(16 * 1024, 32 * 1024));
         this.dialect = dialect;
         this.ready = ready;
     }
 
-    /** From now on requests are read by this dialect; those read before go on as they were. */
+    /** Sets the dialect for requests read from now on; those already read are not affected. */
     public void use(RequestDialect next) {
         dialect = next;
     }
@@ -46,20 +46,20 @@
     @Override
     protected void begin(PollableChannel channel) {
         ClientConnection connection = new ClientConnection(this, channel);
-        // Not HttpServerCodec: it breaks the connection off where much is sent ahead, and what is taken with it.
-        channel.pipeline().addLast(connection.byteWatch(), new HttpRequestDecoder(new HttpDecoderConfig()
-            .setMaxInitialLineLength(LONGEST_LINE).setMaxHeaderSize(LONGEST_HEAD)
+        // Not HttpServerCodec: it closes the connection when a client pipelines much, and loses the request in progress.
+        channel.pipeline().addLast(connection.rawByteHandler(), new HttpRequestDecoder(new HttpDecoderConfig()
+            .setMaxInitialLineLength(MAX_INITIAL_LINE_BYTES).setMaxHeaderSize(MAX_HEADER_BYTES)
             .setMaxChunkSize(SocketBuffers.READ_SIZE)), new HttpResponseEncoder(), connection);
     }
 
     @Override
     protected ClientConnection evictionCandidate(ClientConnection newest) {
-        ClientConnection between = firstQuiet(idle);
-        return between != null ? between : firstQuiet(unfinished);
+        ClientConnection idlest = firstClosable(idle);
+        return idlest != null ? idlest : firstClosable(unfinished);
     }
 
-    /** Nothing that is taken, or that its client has sent, is given up for another. */
-    private static ClientConnection firstQuiet(LinkedHashSet<ClientConnection> from) {
+    /** The first connection that can be closed without losing a request; null for none. */
+    private static ClientConnection firstClosable(LinkedHashSet<ClientConnection> from) {
         for (ClientConnection c : from) {
             if (c.safeToClose()) {
                 return c;
@@ -74,7 +74,7 @@
         unfinished.remove(c);
     }
 
-    void entered(ClientConnection c, ClientConnection.State state) {
+    void stateChanged(ClientConnection c, ClientConnection.State state) {
         gone(c);
         switch (state) {
             case IDLE -> idle.add(c);
@@ -83,7 +83,7 @@
         }
     }
 
-    // ---- what its connections ask ----
+    // ---- state that connections query ----
 
     boolean ready() {
         return state.acceptsWork() && ready.getAsBoolean();
@@ -97,29 +97,29 @@
         return clock.now();
     }
 
-    /** Whether a caller with so much callerTimeout has its answer before the node ends. */
+    /** Whether a caller that waits for so many nanoseconds will get its answer before the node ends. */
     boolean canAnswerBeforeExit(long callerTimeout) {
         return state.canAnswerBeforeExit(callerTimeout, clock.now());
     }
 
-    /** Whether the answer that is given now leaves its connection open. */
+    /** Whether a connection stays open after an answer that is sent now. */
     boolean keepsConnections() {
         return !retired() && state.keepsConnections(clock.now());
     }
 
-    /** Whether a request that has not come whole is turned away, as the node is being emptied or ends. */
+    /** Whether requests that are not yet received whole are rejected, as the node is draining or ends. */
     boolean rejectsIncomplete() {
         return state.rejectsIncomplete(clock.now());
     }
 
-    /** Whether a connection that has been between requests since then is closed, as the node is being emptied. */
+    /** Whether a connection that has been idle since {@code since} is closed, as the node is draining or ends. */
     boolean closesIdle(long since, long now) {
         return state.closesIdle(since, now);
     }
 
-    /** How long a connection may stay open between requests; {@code asked}: it has asked for something before. */
-    long idleTimeout(boolean asked) {
-        long longest = asked ? dialect.idleTimeout() : dialect.firstRequestTimeout();
-        return retired() ? Math.min(longest, RETIRED_IDLE) : longest;
+    /** How long a connection may be idle; {@code hadRequest}: it has carried a request before. */
+    long idleTimeout(boolean hadRequest) {
+        long timeout = hadRequest ? dialect.idleTimeout() : dialect.firstRequestTimeout();
+        return retired() ? Math.min(timeout, RETIRED_IDLE_TIMEOUT_NANOS) : timeout;
     }
 }
--- a/src/main/java/onyxpaddle/http/HttpRequestHead.java
+++ b/src/main/java/onyxpaddle/http/HttpRequestHead.java
@@ -5,15 +5,15 @@
 import onyxpaddle.node.Metadata;
 
 /**
- * A request's head as it goes to a server.
+ * The head of a request to a server.
  *
- * @param maxAnswerBytes the most bytes its answer's body may have
- * @param mapped the procedure it stands for where a server speaks MessagePack-RPC; null for none
- * @param caller whom it came from, in digits, for the servers to know; null where they aren't told
+ * @param maxAnswerBytes the maximum size of the answer's body
+ * @param mapped the procedure to call on servers that speak MessagePack-RPC; null for none
+ * @param caller the caller's IP address, forwarded to servers; null if it is not
  */
 public record HttpRequestHead(HttpMethod method, String uri, HttpHeaders headers, long maxAnswerBytes, String caller, String mapped)
         implements Metadata {
-    /** One that goes to servers of HTTP alone. */
+    /** The head of a request that goes to HTTP servers only. */
     public HttpRequestHead(HttpMethod method, String uri, HttpHeaders headers, long maxAnswerBytes, String caller) {
         this(method, uri, headers, maxAnswerBytes, caller, null);
     }
--- a/src/main/java/onyxpaddle/http/HttpUpstream.java
+++ b/src/main/java/onyxpaddle/http/HttpUpstream.java
@@ -29,15 +29,15 @@
 import onyxpaddle.node.Upstream;
 import onyxpaddle.socket.PollableChannel;
 
-/** A pool's connections to its servers: dials them, keeps idle ones for further requests, and drops those too old. */
+/** A pool's connections to its servers: dials, keeps idle connections for reuse, and closes those that were idle for too long. */
 public final class HttpUpstream implements Upstream {
     /**
-     * How long a connection rests after an answer before it carries a request again: what a server sends too much
-     * comes right behind the answer, and must not meet the next request. Where all rest, a new one is dialled.
+     * How long a connection is not reused after an answer: surplus data from a server arrives right behind the answer and must
+     * not be taken as the answer to the next request. If no connection is reusable, a new one is dialled.
      */
-    private static final long REST = 20_000_000L;
-    /** As long as kept connections are in doubt, new ones are dialled often, and few are worth keeping. */
-    private static final int MOST_IDLE_IN_DOUBT = 2;
+    private static final long REUSE_DELAY_NANOS = 20_000_000L;
+    /** While reused connections fail often, most requests get new connections and few idle ones are worth keeping. */
+    private static final int MAX_IDLE_WHEN_UNRELIABLE = 2;
     private static final long SWEEP_MS = 250;
 
     final Clock clock;
@@ -45,45 +45,46 @@
     final UpstreamDialect dialect;
     final Dispatcher dispatcher;
     final HttpBridge bridge;
-    final ReuseFailureRate doubt = new ReuseFailureRate();
+    final ReuseFailureRate reuseFailures = new ReuseFailureRate();
     private final Bootstrap bootstrap;
-    private final long mostIdle;
-    private final int mostIdleCount;
+    private final long idleTimeout;
+    private final int maxIdlePerServer;
     private final Future<?> sweeping;
     private final Map<String, Peer> peers = new HashMap<>();
     private final Set<ServerConnection> open = new HashSet<>();
 
-    /** A server as this node reaches it. */
+    /** A server's address and its idle connections. */
     private static final class Peer {
         InetSocketAddress address;
         long startedAt;
-        /** It drains, or is not listed any more. */
-        boolean leaves;
-        /** The one used last is taken first, so that those not needed grow old and are dropped. */
+        /** It is draining, or no longer listed. */
+        boolean leaving;
+        /** Most recently used first, so that surplus connections reach the idle timeout. */
         final ArrayDeque<ServerConnection> idle = new ArrayDeque<>();
     }
 
     /**
-     * {@code mostIdle}: how long an idle connection is kept; {@code dialTimeout}: both in nanoseconds; {@code
-     * mostIdleCount}: how many are kept to each server. At a rate r, some r times {@link #REST} are needed to dial none.
+     * {@code idleTimeout}: how long an idle connection is kept; {@code dialTimeout}: for connecting, both in nanoseconds; {@code
+     * maxIdlePerServer}: how many idle connections are kept to each server. To serve a request rate r without dialling takes
+     * about r times {@link #REUSE_DELAY_NANOS} of them.
      */
     public HttpUpstream(EventLoop loop, ByteBufAllocator allocator, Clock clock, PoolShare budget,
-            Dispatcher dispatcher, UpstreamDialect dialect, long mostIdle, long dialTimeout,
-            int mostIdleCount) {
-        this(loop, allocator, clock, budget, dispatcher, dialect, mostIdle, dialTimeout, mostIdleCount, HttpBridge.NONE);
+            Dispatcher dispatcher, UpstreamDialect dialect, long idleTimeout, long dialTimeout,
+            int maxIdlePerServer) {
+        this(loop, allocator, clock, budget, dispatcher, dialect, idleTimeout, dialTimeout, maxIdlePerServer, HttpBridge.NONE);
     }
 
-    /** As the other, with a bridge for requests of other protocols. */
+    /** With a bridge for requests of another protocol. */
     public HttpUpstream(EventLoop loop, ByteBufAllocator allocator, Clock clock, PoolShare budget,
-            Dispatcher dispatcher, UpstreamDialect dialect, long mostIdle, long dialTimeout,
-            int mostIdleCount, HttpBridge bridge) {
+            Dispatcher dispatcher, UpstreamDialect dialect, long idleTimeout, long dialTimeout,
+            int maxIdlePerServer, HttpBridge bridge) {
         this.bridge = bridge;
         this.clock = clock;
         this.budget = budget;
         this.dispatcher = dispatcher;
         this.dialect = dialect;
-        this.mostIdle = mostIdle;
-        this.mostIdleCount = mostIdleCount;
+        this.idleTimeout = idleTimeout;
+        this.maxIdlePerServer = maxIdlePerServer;
         bootstrap = new Bootstrap().group(loop).channel(PollableChannel.class)
             .option(ChannelOption.ALLOCATOR, allocator)
             .option(ChannelOption.TCP_NODELAY, true)
@@ -93,7 +94,7 @@
             .handler(new ChannelInitializer<Channel>() {
                 @Override
                 protected void initChannel(Channel channel) {
-                    // Its handlers come with the ServerConnection, once the dial has succeeded.
+                    // ServerConnection adds the handlers once the dial has succeeded.
                 }
             });
         sweeping = loop.scheduleWithFixedDelay(this::sweep, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
@@ -114,11 +115,11 @@
                 continue;
             }
             Peer peer = peers.computeIfAbsent(server, s -> new Peer());
-            boolean other = !host.address().equals(peer.address) || peer.startedAt != host.entry().startedAt();
-            if (other || host.entry().state() == ServerState.DRAINING) {
+            boolean replaced = !host.address().equals(peer.address) || peer.startedAt != host.entry().startedAt();
+            if (replaced || host.entry().state() == ServerState.DRAINING) {
                 closeIdle(peer);
             }
-            peer.leaves = host.entry().state() == ServerState.DRAINING;
+            peer.leaving = host.entry().state() == ServerState.DRAINING;
             peer.address = host.address();
             peer.startedAt = host.entry().startedAt();
         }
@@ -127,12 +128,12 @@
     private void remove(String server) {
         Peer peer = peers.remove(server);
         if (peer != null) {
-            peer.leaves = true;
+            peer.leaving = true;
             closeIdle(peer);
         }
     }
 
-    /** Whether the server can be asked by this protocol. */
+    /** Whether the server has an address for this protocol. */
     public boolean reaches(String server) {
         return peers.containsKey(server);
     }
@@ -143,7 +144,7 @@
         }
     }
 
-    /** Ends it for good: no attempt is out, and none comes after. */
+    /** Closes all connections. No attempt may be pending, and none may follow. */
     public void close() {
         sweeping.cancel(false);
         peers.values().forEach(HttpUpstream::closeIdle);
@@ -162,21 +163,21 @@
             dispatcher.ended(attempt, Outcome.CONNECT_FAILED, null);
             return;
         }
-        ServerConnection rested = doubt.holds() && !attempt.exchange.repeatable ? null : rested(peer);
-        if (rested != null) {
-            rested.start(attempt);
+        ServerConnection reusable = reuseFailures.isHigh() && !attempt.exchange.repeatable ? null : takeReusable(peer);
+        if (reusable != null) {
+            reusable.start(attempt);
         } else {
             dial(peer, attempt);
         }
     }
 
-    /** Takes the idle connection that was used last among those that have rested; null where there is none. */
-    private ServerConnection rested(Peer peer) {
+    /** Takes the most recently used idle connection whose reuse delay has passed; null for none. */
+    private ServerConnection takeReusable(Peer peer) {
         long now = clock.now();
         for (Iterator<ServerConnection> idle = peer.idle.iterator(); idle.hasNext();) {
             ServerConnection c = idle.next();
-            long rest = now - c.idleSince;
-            if (rest >= REST && rest < mostIdle && c.usable()) {
+            long idleFor = now - c.idleSince;
+            if (idleFor >= REUSE_DELAY_NANOS && idleFor < idleTimeout && c.isUsable()) {
                 idle.remove();
                 return c;
             }
@@ -186,7 +187,7 @@
 
     private void dial(Peer peer, Attempt attempt) {
         if (!budget.servers().take(1) && !(closeOldestIdle() && budget.servers().take(1))) {
-            // The node's own want of descriptors: nothing was sent, and the server has no part in it.
+            // The node is out of descriptors: nothing was sent, and the server is not at fault.
             dispatcher.ended(attempt, Outcome.NOT_SENT, null);
             return;
         }
@@ -194,8 +195,8 @@
         dial.channel().closeFuture().addListener(f -> budget.servers().giveBack(1));
         attempt.carrier = dial;
         dial.addListener(f -> {
-            if (!f.isSuccess() || peer.leaves) {
-                // Told to drain while the dial was out, a server gets nothing new; nothing of the request has gone to it.
+            if (!f.isSuccess() || peer.leaving) {
+                // If the server began to drain during the dial, it gets no new request; nothing was sent to it.
                 dial.channel().close();
                 dispatcher.ended(attempt, Outcome.CONNECT_FAILED, null);
             } else if (!dispatcher.mayBegin(attempt)) {
@@ -217,7 +218,7 @@
         }
     }
 
-    // ---- the pool ----
+    // ---- idle connections ----
 
     void release(ServerConnection c) {
         Peer peer = peers.get(c.server);
@@ -227,7 +228,7 @@
         }
         c.idleSince = clock.now();
         peer.idle.addFirst(c);
-        if (peer.idle.size() > (doubt.holds() ? MOST_IDLE_IN_DOUBT : mostIdleCount)) {
+        if (peer.idle.size() > (reuseFailures.isHigh() ? MAX_IDLE_WHEN_UNRELIABLE : maxIdlePerServer)) {
             peer.idle.pollLast().close();
         }
     }
@@ -257,7 +258,7 @@
     private void sweep() {
         long now = clock.now();
         for (Peer peer : peers.values()) {
-            while (!peer.idle.isEmpty() && now - peer.idle.peekLast().idleSince >= mostIdle) {
+            while (!peer.idle.isEmpty() && now - peer.idle.peekLast().idleSince >= idleTimeout) {
                 peer.idle.pollLast().close();
             }
         }
--- a/src/main/java/onyxpaddle/http/IncomingBody.java
+++ b/src/main/java/onyxpaddle/http/IncomingBody.java
@@ -11,128 +11,127 @@
 import onyxpaddle.node.Upload;
 
 /**
- * The body of one request as it comes from its client. It is held whole as long as it is small enough and there is room;
- * beyond that it is passed on as it comes, to the server that is drawn when that much has come, and the client is read as
- * fast as that server takes it. It ends by {@link Fate#WHOLE}, by its owner's word that the last byte is passed on, or by
- * one of the two drops.
+ * The body of one request as it is received. It is buffered whole if it is small enough and memory allows. Otherwise a server
+ * is drawn and the body is streamed to it, and the client is read only as fast as that server accepts data. Receiving ends with
+ * {@link Progress#COMPLETE}, with {@code onStreamed}, or with {@link #drop} or {@link #abandonRest}.
  */
 final class IncomingBody {
-    /** Of a body that there is no room for, so much must be held for it to be passed on as it comes. */
-    private static final int LEAST_HELD = 16 * 1024;
-    /** What each byte that has come allows it to take longer: 64 kB/s, and an eighth for the way. */
-    private static final long FOR_EACH_BYTE = 1_000_000_000L / 56_000;
-
-    /** What becomes of it with the bytes that were added. */
-    enum Fate {
-        /** It goes on, held or passed on. */
-        MORE,
-        /** It is whole and held: {@link #exchange} is ready. */
-        WHOLE,
+    /** A body that memory has no room for is streamed only if at least this much of it is buffered. */
+    private static final int MIN_BUFFERED_BYTES = 16 * 1024;
+    /** Time that each received byte adds to the limit: clients send at 64 kB/s, less an eighth for transmission delays. */
+    private static final long NANOS_PER_BYTE = 1_000_000_000L / 56_000;
+
+    /** State of the body after a part was added. */
+    enum Progress {
+        /** More parts follow, whether it is buffered or streamed. */
+        INCOMPLETE,
+        /** It is buffered whole: {@link #exchange} is ready. */
+        COMPLETE,
         TOO_LARGE,
-        /** Nothing was sent on that a server could run: the client may try again when there is room. */
-        NO_ROOM,
-        /** It can't be sent on, or its request's id is open already. */
-        UNSOUND
+        /** Memory for bodies is full. No server has received a request that it could run, so the client may safely retry. */
+        NO_MEMORY,
+        /** The body fails the request's check, or another request with the same id is open. */
+        INVALID
     }
 
-    private final RoutedRequest taken;
+    private final RoutedRequest request;
     private final Channel channel;
     private final Clock clock;
     private final Caller caller;
-    private final Runnable onPassedOn;
+    private final Runnable onStreamed;
     private final Body body;
     private long received;
     private Exchange exchange;
-    /** Null as long as all of it is held. */
+    /** The streamed part; null as long as the body is only buffered. */
     private Upload upload;
-    /** What came when there was no more room, until an attempt takes it; null for none. */
-    private ByteBuf beyond;
-    private boolean beyondIsLast;
+    /** What was received while neither buffer nor server accepted it, until an attempt reads it; null for none. */
+    private ByteBuf overflow;
+    private boolean overflowIsLast;
     private long pausedAt;
-    private long pausedFor;
-    /** The last byte has come, or it is dropped. */
-    private boolean over;
+    private long pausedNanos;
+    /** The last byte has arrived, or the rest is no longer needed. */
+    private boolean done;
 
-    /** {@code onPassedOn}: the last byte of a body that was passed on has come. */
-    IncomingBody(RoutedRequest taken, Channel channel, Clock clock, Caller caller, Runnable onPassedOn) {
-        this.taken = taken;
+    /** {@code onStreamed}: called when the last byte of a streamed body has arrived. */
+    IncomingBody(RoutedRequest request, Channel channel, Clock clock, Caller caller, Runnable onStreamed) {
+        this.request = request;
         this.channel = channel;
         this.clock = clock;
         this.caller = caller;
-        this.onPassedOn = onPassedOn;
-        this.body = new Body(taken.bytes(), Math.min(taken.length(), taken.held()), taken.largest());
+        this.onStreamed = onStreamed;
+        this.body = new Body(request.bytes(), Math.min(request.length(), request.maxBufferedBytes()), request.maxBodyBytes());
     }
 
-    /** The request, once it is whole or passed on. */
+    /** The request, once its body is complete or being streamed. */
     Exchange exchange() {
         return exchange;
     }
 
-    /** Whether its client is read no further, until the server that takes it has room. */
-    boolean pauses() {
+    /** Whether reading from the client is paused until the server accepts more data. */
+    boolean paused() {
         return pausedAt > 0;
     }
 
-    /** Whether it is passed on and its last byte has not come. */
-    boolean passing() {
-        return upload != null && !over;
+    /** Whether it is streamed and its last byte has not arrived. */
+    boolean streaming() {
+        return upload != null && !done;
     }
 
-    /** How long it may take since its request's first byte, beyond what a head may: paused reads are not the client's. */
-    boolean late(long spent, long longestHead) {
-        return pausedAt == 0 && spent - pausedFor > longestHead + received * FOR_EACH_BYTE;
+    /** Whether receiving takes too long; {@code elapsed}: since the request's first byte. Time in which reading was paused is excluded. */
+    boolean timedOut(long elapsed, long headTimeout) {
+        return pausedAt == 0 && elapsed - pausedNanos > headTimeout + received * NANOS_PER_BYTE;
     }
 
-    Fate add(ByteBuf bytes, boolean last) {
+    Progress add(ByteBuf bytes, boolean last) {
         received += bytes.readableBytes();
-        if (received > taken.largest()) {
-            return Fate.TOO_LARGE;
+        if (received > request.maxBodyBytes()) {
+            return Progress.TOO_LARGE;
         } else if (upload != null) {
-            return more(bytes, last) ? Fate.MORE : Fate.NO_ROOM;
-        } else if (received <= taken.held() && body.add(bytes)) {
-            return last ? whole() : Fate.MORE;
-        } else if (taken.whole() || received <= taken.held() && body.size() < LEAST_HELD) {
-            return Fate.NO_ROOM;
-        } else if (taken.pool().hasRequest(taken.terms().id())) {
-            return Fate.UNSOUND;
+            return addStreamed(bytes, last) ? Progress.INCOMPLETE : Progress.NO_MEMORY;
+        } else if (received <= request.maxBufferedBytes() && body.add(bytes)) {
+            return last ? complete() : Progress.INCOMPLETE;
+        } else if (request.mustBuffer() || received <= request.maxBufferedBytes() && body.size() < MIN_BUFFERED_BYTES) {
+            return Progress.NO_MEMORY;
+        } else if (request.pool().hasRequest(request.terms().id())) {
+            return Progress.INVALID;
         }
-        passOn(bytes, last);
-        return Fate.MORE;
+        startStreaming(bytes, last);
+        return Progress.INCOMPLETE;
     }
 
-    private Fate whole() {
-        if (taken.pool().hasRequest(taken.terms().id()) || !taken.sound().test(body)) {
-            return Fate.UNSOUND;
+    private Progress complete() {
+        if (request.pool().hasRequest(request.terms().id()) || !request.bodyCheck().test(body)) {
+            return Progress.INVALID;
         }
-        over = true;
-        exchange = new Exchange(taken.terms(), taken.head(), body, caller);
-        return Fate.WHOLE;
+        done = true;
+        exchange = new Exchange(request.terms(), request.head(), body, caller);
+        return Progress.COMPLETE;
     }
 
-    /** It is larger than what is held, or there is no room to hold it: what follows goes on as it comes. */
-    private void passOn(ByteBuf bytes, boolean last) {
-        beyond = SocketBuffers.kept(bytes, channel.alloc());
-        beyondIsLast = last;
-        upload = new Upload(taken.length(), this::read);
-        exchange = new Exchange(taken.terms(), taken.head(), body, caller, upload);
-        read(false);
-        taken.pool().arrived(exchange, clock.earliestArrival());
+    /** Begins to stream the body, as it exceeds the buffer limit or the available memory. */
+    private void startStreaming(ByteBuf bytes, boolean last) {
+        overflow = SocketBuffers.kept(bytes, channel.alloc());
+        overflowIsLast = last;
+        upload = new Upload(request.length(), this::setReading);
+        exchange = new Exchange(request.terms(), request.head(), body, caller, upload);
+        setReading(false);
+        request.pool().arrived(exchange, clock.earliestArrival());
     }
 
-    /** Reads on or not, as the server that takes the body has room. */
-    private void read(boolean on) {
-        if (!over && on && beyond != null) {
-            // An attempt takes what comes: this came first, and there was no room to hold it.
-            ByteBuf first = beyond;
-            beyond = null;
-            more(first, beyondIsLast);
+    /** Resumes or pauses reading from the client, as the server's connection becomes writable or not. */
+    private void setReading(boolean on) {
+        if (!done && on && overflow != null) {
+            // An attempt now reads the body: what could not be buffered precedes all further parts.
+            ByteBuf first = overflow;
+            overflow = null;
+            addStreamed(first, overflowIsLast);
             first.release();
         }
-        if (over) {
+        if (done) {
             return;
         }
         if (on && pausedAt > 0) {
-            pausedFor += clock.now() - pausedAt;
+            pausedNanos += clock.now() - pausedAt;
             pausedAt = 0;
         } else if (!on && pausedAt == 0) {
             pausedAt = clock.now();
@@ -140,12 +139,12 @@
         channel.config().setAutoRead(on);
     }
 
-    /** More of a body that is passed on; false where it has to be held and there is no room. */
-    private boolean more(ByteBuf bytes, boolean last) {
-        if (beyond != null) {
-            // What was on its way when reading stopped.
-            beyond = Unpooled.wrappedBuffer(beyond, SocketBuffers.kept(bytes, channel.alloc()));
-            beyondIsLast = last;
+    /** Adds a part of a streamed body; false if it must be buffered and memory is full. */
+    private boolean addStreamed(ByteBuf bytes, boolean last) {
+        if (overflow != null) {
+            // Data that was already read when reading stopped.
+            overflow = Unpooled.wrappedBuffer(overflow, SocketBuffers.kept(bytes, channel.alloc()));
+            overflowIsLast = last;
             return true;
         }
         boolean attached = upload.attached();
@@ -153,8 +152,8 @@
             return false;
         }
         if (last) {
-            over = true;
-            onPassedOn.run();
+            done = true;
+            onStreamed.run();
         }
         if (attached) {
             upload.offer(SocketBuffers.kept(bytes, channel.alloc()), last);
@@ -165,41 +164,41 @@
         return true;
     }
 
-    /** No more has come for now. */
+    /** Called when no more input is available for now. */
     void flush() {
         if (upload != null) {
             upload.flush();
         }
     }
 
-    /** The client has left, or what it sends is at fault: nothing of it is wanted any more. */
+    /** Abandons the request: the client has disconnected or its request is rejected. */
     void drop() {
-        if (over) {
+        if (done) {
             return;
         }
-        over = true;
-        releaseBeyond();
+        done = true;
+        releaseOverflow();
         if (upload == null) {
             body.release();
         } else {
-            taken.pool().clientGone(exchange);
+            request.pool().clientGone(exchange);
             upload.abort();
         }
     }
 
-    /** The request has its answer before its body was whole; what is held of it is the pool's to release. */
-    void answered() {
-        if (!over) {
-            over = true;
-            releaseBeyond();
+    /** Called when the request is answered before its body is complete. The buffered part is released by the pool. */
+    void abandonRest() {
+        if (!done) {
+            done = true;
+            releaseOverflow();
             upload.abort();
         }
     }
 
-    private void releaseBeyond() {
-        if (beyond != null) {
-            beyond.release();
-            beyond = null;
+    private void releaseOverflow() {
+        if (overflow != null) {
+            overflow.release();
+            overflow = null;
         }
     }
 }
--- a/src/main/java/onyxpaddle/http/PlainRequestDialect.java
+++ b/src/main/java/onyxpaddle/http/PlainRequestDialect.java
@@ -22,27 +22,27 @@
 import onyxpaddle.route.RouteTable;
 
 /**
- * Requests of ordinary HTTP clients, which know nothing of this node: the route gives the pool and the class, the class
- * the deadline, and the node the id. A caller may add {@code Idempotency-Key}, {@code X-Expires-In} (seconds) and
+ * Reads requests of ordinary HTTP clients, which are unaware of this node. The route determines the pool and the class, the
+ * class the deadline, and the node assigns the id. A caller may add {@code Idempotency-Key}, {@code X-Expires-In} (seconds) and
  * {@code X-Second-Try: 1}.
  */
 public final class PlainRequestDialect implements RequestDialect {
-    /** The node's own question, on any listener: 200 once a request can be served, 503 before. */
+    /** Path of the readiness check on every listener: 200 once requests can be served, 503 before. */
     public static final String READY = "/.lupinmount/ready";
-    /** On every answer that the node gives by itself, so that it can be told from an application's. */
-    public static final String OWN = "X-Answered-By";
+    /** Header on every answer that the node generates itself, to distinguish it from an application's. */
+    public static final String ANSWERED_BY = "X-Answered-By";
     private static final Pattern TARGET = Pattern.compile("/[!-~&&[^#]]*");
-    private static final Pattern DOTS = Pattern.compile("/(?:\\.|%2[eE]){1,2}(?:/|$)");
-    private static final long WHOLE_SECOND = 1_000_000_000L;
+    private static final Pattern DOT_SEGMENTS = Pattern.compile("/(?:\\.|%2[eE]){1,2}(?:/|$)");
+    private static final long NANOS_PER_SECOND = 1_000_000_000L;
 
     /**
-     * A pool as requests see it; {@code body}: the most bytes of a body, both ways; {@code held}: the most of a request's
-     * that is held until it is whole.
+     * A pool that routes refer to; {@code maxBodyBytes}: the maximum size of the bodies of requests and answers; {@code
+     * maxBufferedBytes}: the size up to which a request's body is buffered whole.
      */
-    public record Target(Dispatcher pool, SharedLimit.Share bytes, long body, long held) {
+    public record Target(Dispatcher pool, SharedLimit.Share bytes, long maxBodyBytes, long maxBufferedBytes) {
     }
 
-    /** A class; {@code unkeyed}: what a request is that should carry a key and does not, else the same. */
+    /** A class; {@code unkeyed}: the class of requests without the key that the class requires, otherwise the same class. */
     public record Classes(RequestClass keyed, RequestClass unkeyed) {
     }
 
@@ -52,16 +52,16 @@
     private final String tenant;
     private final long idleTimeout;
     private final Supplier<String> ids;
-    private final Predicate<Body> mapped;
+    private final Predicate<Body> mappedBodyCheck;
     private long maxCallerTimeout;
 
     /**
-     * {@code tenant} may be null; {@code ids}: a new one for each request, among all of the node; {@code mapped}:
-     * whether a body can go on where its route names a procedure.
+     * {@code tenant}: may be null; {@code ids}: supplies request ids that are unique within the node; {@code mappedBodyCheck}:
+     * whether a body is acceptable for a route that maps to a procedure.
      */
     public PlainRequestDialect(RouteTable routes, Map<String, Target> pools, Map<String, Classes> classes, String tenant,
-            long idleTimeout, Supplier<String> ids, Predicate<Body> mapped) {
-        this.mapped = mapped;
+            long idleTimeout, Supplier<String> ids, Predicate<Body> mappedBodyCheck) {
+        this.mappedBodyCheck = mappedBodyCheck;
         this.routes = routes;
         this.pools = Map.copyOf(pools);
         this.classes = Map.copyOf(classes);
@@ -94,13 +94,13 @@
 
     @Override
     public String localAnswer(HttpResponseStatus status, long retryAfter, HttpHeaders headers) {
-        headers.set(OWN, "lupinmount");
+        headers.set(ANSWERED_BY, "lupinmount");
         if (status.code() == 200) {
             return "";
         }
         if (retryAfter > 0 || status.equals(HttpResponseStatus.SERVICE_UNAVAILABLE)) {
-            // RFC 9110, 10.2.3: whole seconds.
-            headers.set(HttpHeaderNames.RETRY_AFTER, Math.max(1, (retryAfter + WHOLE_SECOND - 1) / WHOLE_SECOND));
+            // RFC 9110, 10.2.3: Retry-After is in whole seconds.
+            headers.set(HttpHeaderNames.RETRY_AFTER, Math.max(1, (retryAfter + NANOS_PER_SECOND - 1) / NANOS_PER_SECOND));
         }
         headers.set(HttpHeaderNames.CONTENT_TYPE, "text/plain; charset=utf-8");
         return "lupinmount: " + switch (status.code()) {
@@ -122,38 +122,38 @@
             throw new RequestRejectedException(HttpResponseStatus.NOT_IMPLEMENTED);
         }
         String host = PlatformRequestDialect.single(headers, "Host");
-        // RFC 9112, 3.2: a request of HTTP/1.1 has one.
+        // RFC 9112, 3.2: Host is mandatory in HTTP/1.1.
         require(host != null || !request.protocolVersion().equals(HttpVersion.HTTP_1_1));
         String uri = request.uri();
         if (uri.startsWith("http://")) {
-            // RFC 9112, 3.2.2: as a client writes it that takes this node for its proxy; its host goes before the header.
+            // RFC 9112, 3.2.2: absolute form, as sent to a proxy; its host takes precedence over the Host header.
             int slash = uri.indexOf('/', "http://".length());
             host = uri.substring("http://".length(), slash < 0 ? uri.length() : slash);
             uri = slash < 0 ? "/" : uri.substring(slash);
         }
         String path = PlatformRequestDialect.path(uri);
-        // A path that means another one to the server could slip past a route.
-        require(TARGET.matcher(uri).matches() && !DOTS.matcher(path).find());
+        // A path that the server would normalise to another one could bypass a route.
+        require(TARGET.matcher(uri).matches() && !DOT_SEGMENTS.matcher(path).find());
         Route route = routes.find(withoutPort(host), path, method.name(), headers::get);
         if (route == null) {
             throw new RequestRejectedException(HttpResponseStatus.NOT_FOUND);
         }
         Target target = pools.get(route.pool());
-        Classes about = classes.get(route.requestClass());
+        Classes variants = classes.get(route.requestClass());
         String key = PlatformRequestDialect.single(headers, "Idempotency-Key");
-        RequestClass requestClass = key == null || key.isEmpty() ? about.unkeyed() : about.keyed();
+        RequestClass requestClass = key == null || key.isEmpty() ? variants.unkeyed() : variants.keyed();
         long length = PlatformRequestDialect.length(request);
-        if (length > target.body()) {
+        if (length > target.maxBodyBytes()) {
             throw new RequestRejectedException(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
         }
         long callerTimeout = PlatformRequestDialect.callerTimeout(PlatformRequestDialect.single(headers, PlatformRequestDialect.EXPIRES_IN),
             requestClass.deadline());
-        String onward = uri == path ? route.rewrittenPath(path) : route.rewrittenPath(path) + uri.substring(path.length());
+        String forwardedUri = uri == path ? route.rewrittenPath(path) : route.rewrittenPath(path) + uri.substring(path.length());
         Terms terms = new Terms(ids.get(), requestClass, callerTimeout, tenant, 0, "1".equals(headers.get("X-Second-Try")));
-        boolean mappedTo = route.procedure() != null;
-        return new RoutedRequest(target.pool(), target.bytes(), terms, new HttpRequestHead(method, onward, headers, target.body(),
-            caller.getAddress().getHostAddress(), route.procedure()), length, target.body(),
-            mappedTo ? target.body() : target.held(), mappedTo, mappedTo ? mapped : body -> true);
+        boolean mapped = route.procedure() != null;
+        return new RoutedRequest(target.pool(), target.bytes(), terms, new HttpRequestHead(method, forwardedUri, headers,
+            target.maxBodyBytes(), caller.getAddress().getHostAddress(), route.procedure()), length, target.maxBodyBytes(),
+            mapped ? target.maxBodyBytes() : target.maxBufferedBytes(), mapped, mapped ? mappedBodyCheck : body -> true);
     }
 
     private static String withoutPort(String host) {
--- a/src/main/java/onyxpaddle/http/PlainUpstreamDialect.java
+++ b/src/main/java/onyxpaddle/http/PlainUpstreamDialect.java
@@ -12,36 +12,36 @@
 import onyxpaddle.BalancerApi.Outcome;
 
 /**
- * Answers of ordinary HTTP servers: all but hop-by-hop headers pass, and so does every status. 500, 502, 503 and 504
- * count as failures of the server, may be tried again where the class allows, and go to the caller if nothing better
- * comes; every other status is the answer. A 503 or 504 with {@code X-Never-Ran: 1} is a refusal that never ran.
+ * Ordinary HTTP servers. Forwards every status and all headers except hop-by-hop ones. 500, 502, 503 and 504 count as server
+ * failures: the request is retried if its class allows, and the answer goes to the caller if no further attempt succeeds. Every
+ * other status is final. A 503 or 504 with {@code X-Never-Ran: 1} is a refusal of a request that has not run.
  */
 public final class PlainUpstreamDialect implements UpstreamDialect {
     private static final Classification TURNED_AWAY = new Classification(Outcome.FULL, null);
-    private static final Set<String> FOR_SERVER = Set.of("expect", "content-length", "x-expires-in", "x-forwarded-for");
+    private static final Set<String> GENERATED = Set.of("expect", "content-length", "x-expires-in", "x-forwarded-for");
     private static final Set<String> FRAMING = Set.of("content-length");
 
     private final String via;
 
-    /** {@code node}: the name by which servers see this node in Via. */
+    /** {@code node}: this node's name in the Via header. */
     public PlainUpstreamDialect(String node) {
         via = "1.1 " + node;
     }
 
     @Override
-    public HttpHeaders requestHeaders(HttpRequestHead x, long length, SocketAddress server, long nanosLeft) {
+    public HttpHeaders requestHeaders(HttpRequestHead head, long length, SocketAddress server, long nanosLeft) {
         HttpHeaders headers = DefaultHttpHeadersFactory.headersFactory().withValidation(false).newHeaders();
-        HopByHopHeaders.copy(x.headers(), headers, FOR_SERVER);
+        HopByHopHeaders.copy(head.headers(), headers, GENERATED);
         if (!headers.contains(HttpHeaderNames.HOST)) {
             headers.set(HttpHeaderNames.HOST, server.toString().replaceFirst("^.*/", ""));
         }
         headers.add(HttpHeaderNames.VIA, via);
-        String before = x.headers().get("X-Forwarded-For");
-        headers.set("X-Forwarded-For", before == null ? x.caller() : before + ", " + x.caller());
+        String forwardedFor = head.headers().get("X-Forwarded-For");
+        headers.set("X-Forwarded-For", forwardedFor == null ? head.caller() : forwardedFor + ", " + head.caller());
         headers.set(PlatformRequestDialect.EXPIRES_IN, PlatformUpstreamDialect.seconds(Math.max(0, nanosLeft)));
         if (length < 0) {
             headers.set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
-        } else if (length > 0 || x.headers().contains(HttpHeaderNames.CONTENT_LENGTH) || takesBody(x.method())) {
+        } else if (length > 0 || head.headers().contains(HttpHeaderNames.CONTENT_LENGTH) || takesBody(head.method())) {
             headers.set(HttpHeaderNames.CONTENT_LENGTH, length);
         }
         return headers;
--- a/src/main/java/onyxpaddle/http/PlatformRequestDialect.java
+++ b/src/main/java/onyxpaddle/http/PlatformRequestDialect.java
@@ -22,44 +22,43 @@
 import onyxpaddle.node.SharedLimit;
 
 /**
- * What a request's head says, once it is found to say it as the platform's protocol does. Guards against requests that
- * node and server could understand differently, and so against all that only pretends to be one; it should cover every
- * part of a head that decides what is done with the request. It would do harm where callers took liberties with the
- * protocol: each part is taken in one form only.
+ * Reads requests of the platform's protocol. Validates strictly every part of the head that decides how the request is handled,
+ * so that node and server cannot interpret it differently (request smuggling). Each part is accepted in one form only, so
+ * callers that deviate from the protocol are rejected.
  */
 public final class PlatformRequestDialect implements RequestDialect {
     static final String ID_HEADER = "X-Trace-Id";
     private static final String REQUEST_CLASS = "X-Qos";
     private static final String KEY = "Idempotency-Key";
     static final String EXPIRES_IN = "X-Expires-In";
-    private static final double SECOND = 1e9;
+    private static final double NANOS_PER_SECOND = 1e9;
     private static final Pattern ID = Pattern.compile("[!-~]{1,64}");
     private static final Pattern TARGET = Pattern.compile("/[!-~]*");
-    private static final Pattern SPAN = Pattern.compile("[0-9]{1,9}(\\.[0-9]{1,12})?");
-    private static final long LONGEST_SILENCE = 2_200_000_000L;
-    private static final long LONGEST_IDLE = 5_000_000_000L;
-    /** The callerTimeout of callers of a class that has no deadline. */
-    private static final long LONGEST_PATIENCE = 60_000_000_000L;
-
-    /** Bodies reach 32 MB, in requests and in answers; this is more by a quarter. */
-    private static final long LARGEST = 40L << 20;
+    private static final Pattern DURATION = Pattern.compile("[0-9]{1,9}(\\.[0-9]{1,12})?");
+    private static final long FIRST_REQUEST_TIMEOUT_NANOS = 2_200_000_000L;
+    private static final long IDLE_TIMEOUT_NANOS = 5_000_000_000L;
+    /** How long callers of a class without a deadline are assumed to wait. */
+    private static final long DEFAULT_TIMEOUT_NANOS = 60_000_000_000L;
+
+    /** Bodies of requests and answers reach 32 MB; this leaves a margin of a quarter. */
+    private static final long MAX_BODY_BYTES = 40L << 20;
     /**
-     * Of a request's body, as long as there is room. A server counts a connection from its start, and takes some thirty:
-     * one that carries a body at its client's pace fills a place for seconds, so what can be is held until it is whole.
+     * Request bodies up to this size are buffered whole, as long as memory allows. Servers count a connection against their
+     * limit of about thirty as soon as it is opened, and one that carries a body at its client's pace occupies a slot for seconds.
      */
-    private static final long HELD = 1 << 20;
+    private static final long MAX_BUFFERED_BYTES = 1 << 20;
 
     private final Map<String, RequestClass> classes = new HashMap<>();
     private final Dispatcher pool;
     private final SharedLimit.Share bytes;
-    private long longest;
+    private long maxDeadline;
 
-    public PlatformRequestDialect(List<RequestClass> known, Dispatcher pool, SharedLimit.Share bytes) {
+    public PlatformRequestDialect(List<RequestClass> requestClasses, Dispatcher pool, SharedLimit.Share bytes) {
         this.pool = pool;
         this.bytes = bytes;
-        for (RequestClass c : known) {
+        for (RequestClass c : requestClasses) {
             classes.put(c.name(), c);
-            longest = Math.max(longest, c.deadline());
+            maxDeadline = Math.max(maxDeadline, c.deadline());
         }
     }
 
@@ -70,17 +69,17 @@
 
     @Override
     public long maxCallerTimeout() {
-        return longest;
+        return maxDeadline;
     }
 
     @Override
     public long firstRequestTimeout() {
-        return LONGEST_SILENCE;
+        return FIRST_REQUEST_TIMEOUT_NANOS;
     }
 
     @Override
     public long idleTimeout() {
-        return LONGEST_IDLE;
+        return IDLE_TIMEOUT_NANOS;
     }
 
     @Override
@@ -101,10 +100,10 @@
         String id = single(headers, ID_HEADER);
         require(id != null && ID.matcher(id).matches() && TARGET.matcher(request.uri()).matches());
 
-        String path = firstPart(request.uri());
+        String className = firstSegment(request.uri());
         String named = single(headers, REQUEST_CLASS);
-        RequestClass requestClass = classes.get(path);
-        if (requestClass == null || named != null && !named.equals(path)) {
+        RequestClass requestClass = classes.get(className);
+        if (requestClass == null || named != null && !named.equals(className)) {
             throw new RequestRejectedException(HttpResponseStatus.NOT_FOUND);
         }
         Effect effect = requestClass.effect();
@@ -114,17 +113,17 @@
 
         long length = length(request);
         require(length == 0 || !method.equals(HttpMethod.GET));
-        if (length > LARGEST) {
+        if (length > MAX_BODY_BYTES) {
             throw new RequestRejectedException(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
         }
         long callerTimeout = callerTimeout(single(headers, EXPIRES_IN), requestClass.deadline());
         Terms terms = new Terms(id, requestClass, callerTimeout, headers.get("X-Customer"), hintedCost(headers),
             "1".equals(headers.get("X-Second-Try")));
-        return new RoutedRequest(pool, bytes, terms, new HttpRequestHead(method, request.uri(), headers, LARGEST, null), length,
-            LARGEST, HELD);
+        return new RoutedRequest(pool, bytes, terms, new HttpRequestHead(method, request.uri(), headers, MAX_BODY_BYTES, null), length,
+            MAX_BODY_BYTES, MAX_BUFFERED_BYTES);
     }
 
-    /** The caller's guess at the work, given in microseconds, as seconds; 0 where it gives none that makes sense. */
+    /** The cost hint, which is in microseconds, as seconds; 0 if absent or invalid. */
     private static double hintedCost(HttpHeaders headers) {
         String hint = headers.get("X-Size-Hint");
         try {
@@ -135,7 +134,7 @@
         }
     }
 
-    /** The body's length, -1 for chunks. One that states both is turned away by the decoder already. */
+    /** The body's length, -1 if chunked. The decoder rejects requests with both a length and chunked coding. */
     static long length(HttpRequest request) throws RequestRejectedException {
         List<String> codings = request.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
         if (codings.isEmpty()) {
@@ -147,19 +146,19 @@
         return -1;
     }
 
-    /** How long the caller waits; without its word as long as its class does, and never longer than that. */
+    /** How long the caller waits: as stated in {@code seconds}, at most the class's deadline, which is also the default. */
     static long callerTimeout(String seconds, long deadline) throws RequestRejectedException {
-        long longest = deadline > 0 ? deadline : LONGEST_PATIENCE;
+        long max = deadline > 0 ? deadline : DEFAULT_TIMEOUT_NANOS;
         if (seconds == null) {
-            return longest;
+            return max;
         }
         String given = seconds.trim();
-        // Java reads "NaN", "Infinity", "0x1p9" and "1d" as numbers, too.
-        require(SPAN.matcher(given).matches());
-        return (long) Math.min(longest, Double.parseDouble(given) * SECOND);
+        // Double.parseDouble also accepts "NaN", "Infinity", "0x1p9" and "1d".
+        require(DURATION.matcher(given).matches());
+        return (long) Math.min(max, Double.parseDouble(given) * NANOS_PER_SECOND);
     }
 
-    /** The one value of a header that may not be repeated; null where it is absent. */
+    /** The value of a header that must not be repeated; null if absent. */
     static String single(HttpHeaders headers, String name) throws RequestRejectedException {
         List<String> values = headers.getAll(name);
         require(values.size() <= 1);
@@ -171,7 +170,7 @@
         return query < 0 ? uri : uri.substring(0, query);
     }
 
-    private static String firstPart(String uri) {
+    private static String firstSegment(String uri) {
         String path = path(uri);
         int end = path.indexOf('/', 1);
         return path.substring(1, end < 0 ? path.length() : end);
--- a/src/main/java/onyxpaddle/http/ReadThrottle.java
+++ b/src/main/java/onyxpaddle/http/ReadThrottle.java
@@ -4,49 +4,49 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * When a server's connection is read: not while whoever takes its answer has no room, and only every few milliseconds while
- * the answer comes in small pieces. Guards the loop against a server that writes an answer in small pieces, each of which
- * would cost a wakeup, a read and a write; it should cover any stream of small writes. It does harm where each piece of a
- * stream matters to its reader within milliseconds.
+ * Controls reading from a server's connection: pauses while the receiver of the answer has no room, and delays reads by a few
+ * milliseconds while an answer arrives in small pieces, so that they coalesce. Otherwise a server that writes in small pieces
+ * would cost the event loop a wakeup, a read and a write for each. The delay is harmful only if the reader of a stream depends on
+ * receiving each piece within milliseconds.
  */
 final class ReadThrottle {
-    /** Reads of fewer bytes are pieces. */
-    private static final int PIECE = 2 * 1024;
-    /** So many of them in a row leave the next to gather. */
-    static final int MANY_PIECES = 4;
-    static final long GATHER_MS = 4;
+    /** A read of fewer bytes counts as small. */
+    private static final int SMALL_READ_BYTES = 2 * 1024;
+    /** After this many consecutive small reads the next read is delayed. */
+    static final int SMALL_READS_LIMIT = 4;
+    static final long DELAY_MS = 4;
 
     private final Channel channel;
     private boolean paused;
-    private int readNow;
-    private int pieces;
+    private int bytesThisTurn;
+    private int smallReads;
 
     ReadThrottle(Channel channel) {
         this.channel = channel;
     }
 
-    /** Another answer is waited for. */
-    void startAnew() {
-        pieces = 0;
-        readNow = 0;
+    /** Called before each request. */
+    void reset() {
+        smallReads = 0;
+        bytesThisTurn = 0;
     }
 
-    /** So many bytes of an answer's body came. */
+    /** Counts bytes of an answer's body. */
     void read(int bytes) {
-        readNow += bytes;
+        bytesThisTurn += bytes;
     }
 
-    /** All that has come is read; {@code more}: the answer goes on. */
+    /** Called when no more input is available for now; {@code more}: the answer is not complete. */
     void readComplete(boolean more) {
-        pieces = more && readNow < PIECE ? pieces + 1 : 0;
-        readNow = 0;
-        if (pieces >= MANY_PIECES && !paused) {
+        smallReads = more && bytesThisTurn < SMALL_READ_BYTES ? smallReads + 1 : 0;
+        bytesThisTurn = 0;
+        if (smallReads >= SMALL_READS_LIMIT && !paused) {
             channel.config().setAutoRead(false);
             channel.eventLoop().schedule(() -> {
                 if (!paused) {
                     channel.config().setAutoRead(true);
                 }
-            }, GATHER_MS, TimeUnit.MILLISECONDS);
+            }, DELAY_MS, TimeUnit.MILLISECONDS);
         }
     }
 
--- a/src/main/java/onyxpaddle/http/RequestDialect.java
+++ b/src/main/java/onyxpaddle/http/RequestDialect.java
@@ -5,23 +5,26 @@
 import io.netty.handler.codec.http.HttpResponseStatus;
 import java.net.InetSocketAddress;
 
-/** What a listener makes of the requests that come to it. */
+/** How a listener interprets requests: routing, time limits, and the answers that the node gives itself. */
 public interface RequestDialect {
-    /** Reads a head, and says where the request goes; {@code caller}: the address it came from. */
+    /** Reads a request's head and routes it; {@code caller}: the address it came from. */
     RoutedRequest read(HttpRequest request, InetSocketAddress caller) throws RequestRejectedException;
 
-    /** Whether the request asks the node itself if it is ready. */
+    /** Whether the request is a readiness check of the node itself. */
     boolean isReadinessCheck(HttpRequest request);
 
-    /** The longest that any caller here waits, in nanoseconds. */
+    /** The longest time that any caller of this listener waits, in nanoseconds. */
     long maxCallerTimeout();
 
-    /** How long a connection that has never asked for anything stays open, in nanoseconds. */
+    /** How long a new connection may stay open without a request, in nanoseconds. */
     long firstRequestTimeout();
 
-    /** How long a connection stays open between requests, in nanoseconds. */
+    /** How long a connection may stay open between requests, in nanoseconds. */
     long idleTimeout();
 
-    /** The body and headers of an answer that the node gives by itself; {@code retryAfter}: 0 for no advice. */
+    /**
+     * The body of an answer that the node generates itself; its headers are added to {@code headers}. {@code retryAfter}: in
+     * nanoseconds, 0 for none.
+     */
     String localAnswer(HttpResponseStatus status, long retryAfter, HttpHeaders headers);
 }
--- a/src/main/java/onyxpaddle/http/RequestRejectedException.java
+++ b/src/main/java/onyxpaddle/http/RequestRejectedException.java
@@ -2,7 +2,7 @@
 
 import io.netty.handler.codec.http.HttpResponseStatus;
 
-/** A head that is turned away; the status says why. */
+/** A request is rejected because of its head, with this status. */
 public final class RequestRejectedException extends Exception {
     private static final long serialVersionUID = 1L;
     final transient HttpResponseStatus status;
@@ -12,8 +12,8 @@
         this.status = status;
     }
 
-    static void require(boolean sound) throws RequestRejectedException {
-        if (!sound) {
+    static void require(boolean valid) throws RequestRejectedException {
+        if (!valid) {
             throw new RequestRejectedException(HttpResponseStatus.BAD_REQUEST);
         }
     }
--- a/src/main/java/onyxpaddle/http/ReuseFailureRate.java
+++ b/src/main/java/onyxpaddle/http/ReuseFailureRate.java
@@ -1,27 +1,27 @@
 package onyxpaddle.http;
 
 /**
- * How often a kept connection breaks under the request that it is given next, over the node's last uses of kept
- * ones. Guards what must not run twice: a request on a connection that its server, or something on the way, is just
- * closing ends as may-have-run and can't be tried again, so while that happens it goes on a new connection. Should
- * cover servers that keep connections for less long than they say, and middle boxes that drop them. A new connection
- * costs its server work, so it would do harm where kept ones break rarely and servers are near their limit; what may
- * be repeated goes on using kept ones, and so the doubt ends by itself.
+ * Moving average of how often a reused connection breaks under its next request, over the node's recent reuses. A request on
+ * a connection that its server, or a device on the path, is just closing may have run and cannot be retried. While the rate is
+ * high, requests that must not run twice therefore get new connections. This covers servers that close idle connections earlier
+ * than they announce, and middleboxes that drop them. New connections cost the servers work, so this would be harmful if reused
+ * ones rarely broke and servers were near their limit. Repeatable requests continue to reuse connections, so the rate recovers
+ * by itself.
  */
 final class ReuseFailureRate {
-    private static final double STEP = 1.0 / 32;
-    /** A handshake is a small part of a call's work, a failed booking is all of it. */
-    private static final double TOO_OFTEN = 0.02;
-    /** A break so soon after the request speaks of the connection, a later one of the server. */
-    static final long SOON = 50_000_000L;
+    private static final double SMOOTHING = 1.0 / 32;
+    /** A new handshake costs a small part of a call's work, a failed booking all of it. */
+    private static final double HIGH = 0.02;
+    /** A connection that breaks this soon after the request was stale; a later break is attributed to the server. */
+    static final long STALE_WINDOW_NANOS = 50_000_000L;
 
-    private double share;
+    private double rate;
 
-    void used(boolean broke) {
-        share += STEP * ((broke ? 1 : 0) - share);
+    void update(boolean broke) {
+        rate += SMOOTHING * ((broke ? 1 : 0) - rate);
     }
 
-    boolean holds() {
-        return share > TOO_OFTEN;
+    boolean isHigh() {
+        return rate > HIGH;
     }
 }
--- a/src/main/java/onyxpaddle/http/RoutedRequest.java
+++ b/src/main/java/onyxpaddle/http/RoutedRequest.java
@@ -7,20 +7,21 @@
 import onyxpaddle.node.SharedLimit;
 
 /**
- * A request that has a pool to go to.
+ * A request that was read from its head and assigned to a pool.
  *
- * @param pool whose it is
- * @param bytes the pool's part of the node's memory for bodies
- * @param length the body's length, or -1 where it comes in chunks
- * @param sound whether a body that has come whole is one that can be sent on
- * @param largest the most bytes that its body may have
- * @param held the most bytes of it that are held whole; what is larger, or has no room, is passed on as it comes
- * @param whole whether it must be held whole all the same: what it is can't be told from a part
+ * @param bytes the pool's share of the node's memory for bodies
+ * @param length the body's length, or -1 if it is chunked
+ * @param maxBodyBytes the maximum size of the body
+ * @param maxBufferedBytes the size up to which the body is buffered whole; a larger one, or one that memory has no room for, is
+ *     streamed
+ * @param mustBuffer never stream the body, as {@code bodyCheck} needs all of it
+ * @param bodyCheck whether a complete body is acceptable
  */
-public record RoutedRequest(Dispatcher pool, SharedLimit.Share bytes, Terms terms, HttpRequestHead head, long length, long largest,
-        long held, boolean whole, Predicate<Body> sound) {
-    /** One whose body may be anything. */
-    public RoutedRequest(Dispatcher pool, SharedLimit.Share bytes, Terms terms, HttpRequestHead head, long length, long largest, long held) {
-        this(pool, bytes, terms, head, length, largest, held, false, body -> true);
+public record RoutedRequest(Dispatcher pool, SharedLimit.Share bytes, Terms terms, HttpRequestHead head, long length,
+        long maxBodyBytes, long maxBufferedBytes, boolean mustBuffer, Predicate<Body> bodyCheck) {
+    /** A request whose body may be streamed and is not checked. */
+    public RoutedRequest(Dispatcher pool, SharedLimit.Share bytes, Terms terms, HttpRequestHead head, long length,
+            long maxBodyBytes, long maxBufferedBytes) {
+        this(pool, bytes, terms, head, length, maxBodyBytes, maxBufferedBytes, false, body -> true);
     }
 }
--- a/src/main/java/onyxpaddle/http/ServerConnection.java
+++ b/src/main/java/onyxpaddle/http/ServerConnection.java
@@ -33,66 +33,69 @@
 import onyxpaddle.socket.PollableChannel;
 
 /**
- * One connection to a server. It carries one attempt at a time, and maps what comes back to the outcomes of the
- * protocol: what breaks before the request's last byte is written has never run, what breaks after it may have.
+ * One connection to a server. It carries one attempt at a time and maps failures to outcomes: an attempt that fails before its
+ * request's last byte is written has certainly not run, one that fails later may have.
  */
 final class ServerConnection extends ChannelInboundHandlerAdapter {
-    /** What is left of an answer that ended its attempt at the head comes within this, or not at all. */
-    private static final long LONGEST_REST = 5_000_000_000L;
-    /** Interim answers before the final one: a server has a use for a few. */
-    private static final int MOST_INTERIM = 16;
-    /** An answer that is larger is passed on as it comes, where its caller takes it so; a smaller one is held whole. */
-    private static final long HELD = 64 * 1024;
-    /** How long a server may bring nothing of an answer that is being passed on, or take nothing of a body; see the dialect. */
-    static final long LONGEST_STALL = 30_000_000_000L;
+    /** Limit for receiving the rest of an answer whose attempt ended with the head. */
+    private static final long DISCARD_TIMEOUT_NANOS = 5_000_000_000L;
+    /** Limit for interim (1xx) answers before the final one. */
+    private static final int MAX_INTERIM_ANSWERS = 16;
+    /** Larger answers are streamed to callers that accept it; smaller ones are buffered whole. */
+    private static final long MAX_BUFFERED_BYTES = 64 * 1024;
+    /**
+     * How long a server may send nothing of a streamed answer, or accept nothing of a streamed body. The limit for answers is a
+     * default, see {@link UpstreamDialect#stallTimeout}.
+     */
+    static final long STALL_TIMEOUT_NANOS = 30_000_000_000L;
 
     final String server;
     final PollableChannel channel;
     long idleSince;
-    private final HttpUpstream all;
-    /** The attempt that waits for its outcome, or null. */
+    private final HttpUpstream upstream;
+    /** The attempt that waits for its outcome; null for none. */
     private Attempt attempt;
     private final AnswerDecoder decoder;
-    /** A request is out and the last byte of its answer has not come. */
-    private boolean exchanging;
-    private boolean answered;
+    /** A request has been started and the last byte of its answer has not arrived. */
+    private boolean exchangeOpen;
+    private boolean headReceived;
     private boolean reusable;
-    private boolean sent;
-    private int interim;
-    /** The answer's length as its head says it, -1 where it doesn't. */
-    private long announced;
-    private long skipped;
+    private boolean requestWritten;
+    private int interimAnswers;
+    /** The length stated in the answer's head, -1 if none. */
+    private long contentLength;
+    private long bodyBytes;
     private Answer answer;
     private Outcome outcome;
-    private long largest;
+    private long maxAnswerBytes;
     private HttpMethod method;
     private long startedAt;
-    private boolean kept;
-    /** The connection was reset: what still comes of the decoder looks like an end and is none. */
-    private boolean broke;
-    /** Where the answer goes that is being passed on; null for none. */
+    private boolean reused;
+    /** The connection failed: what the decoder still emits is not the proper end of an answer. */
+    private boolean connectionReset;
+    /** Receives the answer being streamed; null for none. */
     private AnswerSink sink;
-    /** When something of it came last. */
-    private long heardAt;
-    /** The body that is being passed on; null for none. */
+    /** When a part of the streamed answer last arrived. */
+    private long lastDataAt;
+    /** Streams the request's body; null for none. */
     private BodyRelay relay;
-    private final ReadThrottle pace;
+    private final ReadThrottle throttle;
 
-    ServerConnection(HttpUpstream all, String server, PollableChannel channel) {
-        this.all = all;
+    ServerConnection(HttpUpstream upstream, String server, PollableChannel channel) {
+        this.upstream = upstream;
         this.server = server;
         this.channel = channel;
-        this.pace = new ReadThrottle(channel);
+        this.throttle = new ReadThrottle(channel);
         decoder = new AnswerDecoder(new HttpDecoderConfig().setMaxChunkSize(SocketBuffers.READ_SIZE));
         channel.pipeline().addLast(new HttpRequestEncoder(), decoder, this);
     }
 
     /**
-     * Whether it can carry a request now: it is looked at, since the server may have closed it, or sent what nobody asked for, since
-     * the loop last came to it. What is written to such a connection ends as a reset, and may have run.
+     * Whether it can carry a request now. Polls the socket, as the server may have closed the connection or sent unsolicited data
+     * since the event loop last processed it. A request written to such a connection ends with a reset and may have run.
      */
-    boolean usable() {
-        return !exchanging && channel.poll() == PollableChannel.PollResult.NOTHING;
+    boolean isUsable() {
+        return !exchangeOpen && channel.poll() == PollableChannel.PollResult.NOTHING;
     }
 
     void close() {
@@ -104,36 +107,36 @@
     void start(Attempt next) {
         attempt = next;
         next.carrier = this;
-        exchanging = true;
-        answered = false;
+        exchangeOpen = true;
+        headReceived = false;
         reusable = false;
-        sent = false;
-        interim = 0;
-        skipped = 0;
-        startedAt = all.clock.now();
-        kept = idleSince > 0;
-        Exchange x = next.exchange;
-        HttpRequestHead head = all.bridge.head(x);
+        requestWritten = false;
+        interimAnswers = 0;
+        bodyBytes = 0;
+        startedAt = upstream.clock.now();
+        reused = idleSince > 0;
+        Exchange exchange = next.exchange;
+        HttpRequestHead head = upstream.bridge.head(exchange);
         method = head.method();
-        largest = head.maxAnswerBytes();
+        maxAnswerBytes = head.maxAnswerBytes();
         decoder.expect(head.method().equals(HttpMethod.HEAD));
-        long length = x.upload == null ? x.body.size() : x.upload.length();
-        HttpHeaders headers = all.dialect.requestHeaders(head, length, channel.remoteAddress(),
-            Math.min(x.timeLeft(startedAt), next.until - startedAt));
-        ByteBuf body = x.body.size() == 0 ? Unpooled.EMPTY_BUFFER : x.body.whole();
-        pace.startAnew();
-        if (x.upload == null) {
-            writes(next, channel.writeAndFlush(new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, head.method(), head.uri(), body,
+        long length = exchange.upload == null ? exchange.body.size() : exchange.upload.length();
+        HttpHeaders headers = upstream.dialect.requestHeaders(head, length, channel.remoteAddress(),
+            Math.min(exchange.timeLeft(startedAt), next.until - startedAt));
+        ByteBuf body = exchange.body.size() == 0 ? Unpooled.EMPTY_BUFFER : exchange.body.whole();
+        throttle.reset();
+        if (exchange.upload == null) {
+            trackLastWrite(next, channel.writeAndFlush(new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, head.method(), head.uri(), body,
                 headers, EmptyHttpHeaders.INSTANCE)));
             return;
         }
         channel.write(new DefaultHttpRequest(HttpVersion.HTTP_1_1, head.method(), head.uri(), headers));
-        relay = new BodyRelay(x.upload, channel, all.clock, last -> writes(next, last), () -> bodyAborted(next));
+        relay = new BodyRelay(exchange.upload, channel, upstream.clock, last -> trackLastWrite(next, last), () -> bodyAborted(next));
         relay.start(body);
     }
 
-    /** The request's last byte is in this write. */
-    private void writes(Attempt of, ChannelFuture last) {
+    /** Registers the write that contains the request's last byte. */
+    private void trackLastWrite(Attempt of, ChannelFuture last) {
         of.setLastWrite(last);
         last.addListener(f -> written(of, f.isSuccess()));
     }
@@ -156,10 +159,10 @@
         if (!success) {
             channel.close();
         } else if (attempt == of) {
-            sent = true;
+            requestWritten = true;
             of.markWritten();
             if (of.exchange.upload != null) {
-                all.dispatcher.uploaded(of);
+                upstream.dispatcher.uploaded(of);
             }
         }
     }
@@ -170,20 +173,20 @@
     public void channelRead(ChannelHandlerContext context, Object message) {
         try {
             if (message instanceof HttpContent part) {
-                pace.read(part.content().readableBytes());
+                throttle.read(part.content().readableBytes());
             }
-            if (broke) {
+            if (connectionReset) {
                 return;
             }
-            boolean unasked = !exchanging || attempt == null && !answered;
-            if (unasked || message instanceof HttpObject part && part.decoderResult().isFailure()) {
-                spoilt();
+            boolean unsolicited = !exchangeOpen || attempt == null && !headReceived;
+            if (unsolicited || message instanceof HttpObject part && part.decoderResult().isFailure()) {
+                failAnswer();
                 return;
             }
             if (message instanceof HttpResponse response) {
                 head(response);
             }
-            if (message instanceof HttpContent content && answered) {
+            if (message instanceof HttpContent content && headReceived) {
                 content(content);
             }
         } finally {
@@ -194,212 +197,216 @@
     private void head(HttpResponse response) {
         int status = response.status().code();
         if (response.status().codeClass() == HttpStatusClass.INFORMATIONAL) {
-            if (++interim > MOST_INTERIM || status == HttpResponseStatus.SWITCHING_PROTOCOLS.code()) {
-                spoilt();
+            if (++interimAnswers > MAX_INTERIM_ANSWERS || status == HttpResponseStatus.SWITCHING_PROTOCOLS.code()) {
+                failAnswer();
             }
             return;
         }
-        answered = true;
+        headReceived = true;
         reusable = HttpUtil.isKeepAlive(response);
-        if (kept) {
-            all.doubt.used(false);
+        if (reused) {
+            upstream.reuseFailures.update(false);
         }
-        Classification verdict = all.dialect.classify(method, response);
-        outcome = verdict.outcome();
-        if (verdict.pass() == null) {
-            // An error before the request was whole speaks of one that never ran.
+        Classification classification = upstream.dialect.classify(method, response);
+        outcome = classification.outcome();
+        if (classification.forwarded() == null) {
+            // A server error before the request was complete: the request has not run.
             end(outcome == Outcome.ERROR && !attempt.written() ? Outcome.CONNECT_FAILED : outcome);
             return;
         }
         long length = HttpUtil.getContentLength(response, -1L);
-        boolean bodiless = verdict.pass().bodiless();
-        if (!attempt.written() || !bodiless && length > largest || !all.dialect.isDelimited(method, response, length)) {
-            spoilt();
+        boolean bodiless = classification.forwarded().bodiless();
+        if (!attempt.written() || !bodiless && length > maxAnswerBytes || !upstream.dialect.isDelimited(method, response, length)) {
+            failAnswer();
         } else {
-            announced = bodiless ? 0 : length;
-            answer = new Answer(verdict.pass(), new Body(all.budget.bytes(), Math.min(announced, HELD), largest));
-            if (announced > HELD && passable()) {
-                pass();
+            contentLength = bodiless ? 0 : length;
+            answer = new Answer(classification.forwarded(),
+                new Body(upstream.budget.bytes(), Math.min(contentLength, MAX_BUFFERED_BYTES), maxAnswerBytes));
+            if (contentLength > MAX_BUFFERED_BYTES && canStream()) {
+                startStreaming();
             }
         }
     }
 
-    private boolean passable() {
-        return attempt != null && outcome == Outcome.OK && attempt.exchange.acceptsStreaming() && attempt.exchange.head instanceof HttpRequestHead;
+    private boolean canStream() {
+        return attempt != null && outcome == Outcome.OK && attempt.exchange.acceptsStreaming()
+            && attempt.exchange.head instanceof HttpRequestHead;
     }
 
-    /** From here on the answer is passed on as it comes, from what is held of it. */
-    private void pass() {
-        Answer held = answer;
+    /** Switches to streaming, beginning with the buffered part of the answer. */
+    private void startStreaming() {
+        Answer buffered = answer;
         answer = null;
-        heardAt = all.clock.now();
-        sink = all.dispatcher.beginAnswer(attempt, held.head(), announced, source);
+        lastDataAt = upstream.clock.now();
+        sink = upstream.dispatcher.beginAnswer(attempt, buffered.head(), contentLength, source);
         if (sink == null) {
-            held.body().release();
-            spoilt();
+            buffered.body().release();
+            failAnswer();
             return;
         }
-        if (held.body().size() > 0) {
-            sink.data(held.body().whole());
+        if (buffered.body().size() > 0) {
+            sink.data(buffered.body().whole());
         }
-        held.body().release();
+        buffered.body().release();
     }
 
     private final AnswerSink.Source source = new AnswerSink.Source() {
         @Override
         public void pause() {
-            pace.pause();
+            throttle.pause();
         }
 
         @Override
         public void resume() {
-            heardAt = all.clock.now();
-            pace.resume();
+            lastDataAt = upstream.clock.now();
+            throttle.resume();
         }
 
         @Override
         public void abandon() {
             sink = null;
-            letGo();
+            detach();
             close();
         }
     };
 
     private void content(HttpContent content) {
-        skipped += content.content().readableBytes();
-        if (skipped > Math.max(Body.DEFAULT_MAX_BYTES, largest)) {
-            spoilt();
+        bodyBytes += content.content().readableBytes();
+        if (bodyBytes > Math.max(Body.DEFAULT_MAX_BYTES, maxAnswerBytes)) {
+            failAnswer();
             return;
         }
-        if (answer != null && (passable() && answer.body().size() + content.content().readableBytes() > HELD
+        if (answer != null && (canStream() && answer.body().size() + content.content().readableBytes() > MAX_BUFFERED_BYTES
                 || !answer.body().add(content.content()))) {
-            // It is larger than what is held, or there is no room to hold it: what is read goes on at once.
-            if (!passable()) {
-                spoilt();
+            // It exceeds the buffer limit or the available memory: stream it.
+            if (!canStream()) {
+                failAnswer();
                 return;
             }
-            pass();
+            startStreaming();
         }
         if (sink != null && content.content().isReadable()) {
-            heardAt = all.clock.now();
+            lastDataAt = upstream.clock.now();
             sink.data(SocketBuffers.kept(content.content(), channel.alloc()));
         }
-        if (content instanceof LastHttpContent && exchanging) {
-            exchanging = false;
+        if (content instanceof LastHttpContent && exchangeOpen) {
+            exchangeOpen = false;
             complete();
         }
     }
 
     /**
-     * What has come is not the answer to the request, or not wholly. The request may have run, and where the next
-     * answer would begin is not known. Guards against what can't be parsed, is longer than the protocol allows,
-     * or doesn't tell its own end; it should cover any answer that could be served cut, mixed up or never ended.
-     * It would do harm where a good server framed its answers loosely: each would count as an error of its own.
+     * Fails the attempt and closes the connection, as the answer is unparsable, unsolicited, too long or not delimited: serving it
+     * could deliver a truncated, mixed-up or endless answer, and the start of the next answer is unknown. The request may have run.
+     * A sound server that frames its answers loosely would have each of them counted as an error.
      */
-    private void spoilt() {
-        exchanging = false;
-        answered = false;
+    private void failAnswer() {
+        exchangeOpen = false;
+        headReceived = false;
         end(attempt != null && !attempt.written() ? Outcome.CONNECT_FAILED : Outcome.ERROR);
         close();
     }
 
-    /** All that has been read so far is dealt with: only now is it known whether an answer came alone. */
+    /** Called when no more input is available: only now is it certain that no data follows the answer. */
     @Override
     public void channelReadComplete(ChannelHandlerContext context) {
         if (sink != null) {
             sink.flush();
         }
-        pace.readComplete(exchanging && answered);
-        if (decoder.surplus()) {
+        throttle.readComplete(exchangeOpen && headReceived);
+        if (decoder.unsolicited()) {
             close();
-        } else if (answered && !exchanging) {
-            answered = false;
-            if (reusable && sent && channel.isActive()) {
-                all.release(this);
+        } else if (headReceived && !exchangeOpen) {
+            headReceived = false;
+            if (reusable && requestWritten && channel.isActive()) {
+                upstream.release(this);
             } else {
                 close();
             }
         }
     }
 
-    /** Ends the attempt with the whole of its answer. */
+    /** Ends the attempt with a complete answer. */
     private void complete() {
         Answer whole = answer;
-        AnswerSink passing = sink;
-        Attempt current = letGo();
+        AnswerSink streamed = sink;
+        Attempt current = detach();
         answer = null;
         sink = null;
-        if (pace.paused()) {
-            pace.resume();
+        if (throttle.paused()) {
+            throttle.resume();
         }
-        if (passing != null) {
-            all.dispatcher.ended(current, Outcome.OK, null);
-            passing.end();
+        if (streamed != null) {
+            upstream.dispatcher.ended(current, Outcome.OK, null);
+            streamed.end();
         } else if (whole != null) {
-            Answer passed = all.bridge.answer(current.exchange, whole);
-            all.dispatcher.ended(current, passed == null ? Outcome.ERROR : outcome, passed);
+            Answer converted = upstream.bridge.answer(current.exchange, whole);
+            upstream.dispatcher.ended(current, converted == null ? Outcome.ERROR : outcome, converted);
         }
     }
 
-    /** Ends the attempt, if it waits still, and lets go of what was held of the answer. */
+    /** Ends the attempt, if it is still pending, and releases the buffered part of the answer. */
     private void end(Outcome how) {
-        Attempt current = letGo();
+        Attempt current = detach();
         if (answer != null) {
             answer.body().release();
             answer = null;
         }
-        AnswerSink passing = sink;
+        AnswerSink streamed = sink;
         sink = null;
         if (current != null) {
-            all.dispatcher.ended(current, how, null);
+            upstream.dispatcher.ended(current, how, null);
         }
-        if (passing != null) {
-            passing.broken();
+        if (streamed != null) {
+            streamed.broken();
         }
     }
 
-    /** The attempt is no longer this connection's; what it was to take of a body is left. */
-    private Attempt letGo() {
+    /** Detaches the attempt, which may be null, and its body from this connection. */
+    private Attempt detach() {
         Attempt current = attempt;
-        BodyRelay taking = relay;
+        BodyRelay currentRelay = relay;
         attempt = null;
         relay = null;
-        if (taking != null) {
-            taking.detach();
+        if (currentRelay != null) {
+            currentRelay.detach();
         }
         return current;
     }
 
-    /** The attempt is given up by its owner, who says how it ended. */
+    /** Gives up the attempt; its owner determines the outcome. */
     void abandon() {
-        letGo();
+        detach();
         end(Outcome.CANCELLED);
         close();
     }
 
-    /** Closes what has not brought the rest of an answer that nobody waits for; attempts have their own time-out. */
+    /**
+     * Closes the connection if the unneeded rest of an answer, a streamed answer or a streamed body stalls. Attempts have a timeout
+     * of their own.
+     */
     void checkProgress(long now) {
-        if (exchanging && attempt == null && now - startedAt > LONGEST_REST) {
+        if (exchangeOpen && attempt == null && now - startedAt > DISCARD_TIMEOUT_NANOS) {
             close();
         }
-        boolean silent = sink != null && !pace.paused()
-            && now - heardAt > all.dialect.stallTimeout(now > attempt.exchange.deadline());
-        if (silent || relay != null && relay.stalls(now, LONGEST_STALL)) {
+        boolean stalled = sink != null && !throttle.paused()
+            && now - lastDataAt > upstream.dialect.stallTimeout(now > attempt.exchange.deadline());
+        if (stalled || relay != null && relay.stalled(now, STALL_TIMEOUT_NANOS)) {
             close();
         }
     }
 
-    private void broken() {
-        if (kept && attempt != null && !answered && all.clock.now() - startedAt < ReuseFailureRate.SOON) {
-            all.doubt.used(true);
+    private void connectionLost() {
+        if (reused && attempt != null && !headReceived && upstream.clock.now() - startedAt < ReuseFailureRate.STALE_WINDOW_NANOS) {
+            upstream.reuseFailures.update(true);
         }
         end(attempt != null && !attempt.written() ? Outcome.CONNECT_FAILED : Outcome.RESET);
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-        broken();
-        all.closed(this);
+        connectionLost();
+        upstream.closed(this);
     }
 
     @Override
@@ -407,7 +414,7 @@
         if (!(cause instanceof java.io.IOException)) {
             Log.failure("connection to server " + server, cause);
         }
-        broke = true;
+        connectionReset = true;
         close();
     }
 }
--- a/src/main/java/onyxpaddle/http/StreamedAnswer.java
+++ b/src/main/java/onyxpaddle/http/StreamedAnswer.java
@@ -6,21 +6,21 @@
 import io.netty.handler.codec.http.LastHttpContent;
 import onyxpaddle.node.AnswerSink;
 
-/** An answer on its way to a client as it comes: what the client does not read is not brought. */
+/** An answer that is streamed to a client. Pauses its source while the client does not read. */
 final class StreamedAnswer implements AnswerSink {
-    private final ClientConnection to;
+    private final ClientConnection connection;
     private final SocketChannel channel;
     private final Source source;
 
-    StreamedAnswer(ClientConnection to, SocketChannel channel, Source source) {
-        this.to = to;
+    StreamedAnswer(ClientConnection connection, SocketChannel channel, Source source) {
+        this.connection = connection;
         this.channel = channel;
         this.source = source;
     }
 
     @Override
     public void data(ByteBuf bytes) {
-        channel.write(new DefaultHttpContent(bytes)).addListener(f -> to.moved());
+        channel.write(new DefaultHttpContent(bytes)).addListener(f -> connection.recordProgress());
         if (!channel.isWritable()) {
             channel.flush();
         }
@@ -29,7 +29,6 @@
         }
     }
 
-    /** The client has taken some, or has no more room. */
     void writabilityChanged() {
         if (channel.isWritable()) {
             source.resume();
@@ -45,13 +44,13 @@
 
     @Override
     public void end() {
-        to.passed(channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT));
+        connection.streamComplete(channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT));
     }
 
     @Override
     public void broken() {
-        // Reset rather than closed: an answer that ends with its connection would look whole.
+        // Reset instead of close: an answer delimited by the end of the connection would look complete.
         channel.config().setSoLinger(0);
-        to.close();
+        connection.close();
     }
 }
--- a/src/main/java/onyxpaddle/http/UpstreamDialect.java
+++ b/src/main/java/onyxpaddle/http/UpstreamDialect.java
@@ -6,28 +6,31 @@
 import java.net.SocketAddress;
 import onyxpaddle.BalancerApi.Outcome;
 
-/** What a pool's servers are told, and what is made of the answers they give. */
+/** Builds the request headers for a pool's servers and classifies their answers. */
 public interface UpstreamDialect {
     /**
-     * What an answer's head says of the attempt; {@code pass} is what goes to the caller with the body, null where
-     * the answer is of no use to it.
+     * The outcome of an attempt by its answer's head; {@code forwarded} is the head that goes to the caller with the body,
+     * null if the answer is not forwarded.
      */
-    record Classification(Outcome outcome, AnswerHead pass) {
+    record Classification(Outcome outcome, AnswerHead forwarded) {
     }
 
-    /** {@code length}: of the request's body in bytes, or -1 where it goes in chunks. */
+    /**
+     * The headers of a request to a server. {@code length}: of the body in bytes, -1 if it is sent chunked; {@code nanosLeft}:
+     * the time left to answer.
+     */
     HttpHeaders requestHeaders(HttpRequestHead head, long length, SocketAddress server, long nanosLeft);
 
     /**
-     * How long a server may bring nothing of an answer that is being passed on, in nanoseconds; {@code late}: its request's time
-     * is up. It says nothing of a body that its caller does not read.
+     * How long a server may send nothing of an answer that is being streamed, in nanoseconds; {@code late}: the request's
+     * deadline has passed. Does not apply while the caller does not read the body.
      */
     default long stallTimeout(boolean late) {
-        return ServerConnection.LONGEST_STALL;
+        return ServerConnection.STALL_TIMEOUT_NANOS;
     }
 
     Classification classify(HttpMethod method, HttpResponse response);
 
-    /** Whether the head tells where the body ends, so that an answer that broke off can't look like a short one. */
+    /** Whether the head defines where the body ends, so that a truncated answer cannot be taken for a complete one. */
     boolean isDelimited(HttpMethod method, HttpResponse response, long length);
 }
--- a/src/main/java/onyxpaddle/route/Procedure.java
+++ b/src/main/java/onyxpaddle/route/Procedure.java
@@ -1,28 +1,27 @@
 package onyxpaddle.route;
 
 /**
- * Which remote procedures go to which pool, as what class.
+ * Assigns the remote procedures that match a pattern to a pool and a class.
  *
- * @param name what people call it
- * @param listener the listener it belongs to
- * @param pattern the procedure's name, or the start of the names of several and {@code *}
- * @param path the path by which servers that speak HTTP are asked; below it, with a slash, what stands for the {@code
- *     *}; null where it goes to servers of its own protocol only
+ * @param name the entry's name in the configuration
+ * @param pattern a procedure's full name, or a prefix of names followed by {@code *}
+ * @param path the path for servers that speak HTTP; for a prefix pattern, a slash and the part of the name that matched {@code
+ *     *} are appended; null if calls go to MessagePack-RPC servers only
  */
 public record Procedure(String name, String listener, String pattern, String pool, String requestClass, String path) {
-    boolean prefix() {
+    boolean isPrefix() {
         return pattern.endsWith("*");
     }
 
-    String start() {
+    String prefix() {
         return pattern.substring(0, pattern.length() - 1);
     }
 
-    /** The path for a procedure of that name; null for none. */
+    /** The HTTP path for a procedure of this name; null for none. */
     public String mapped(String procedure) {
-        if (path == null || !prefix()) {
+        if (path == null || !isPrefix()) {
             return path;
         }
-        return (path.equals("/") ? "" : path) + "/" + procedure.substring(start().length());
+        return (path.equals("/") ? "" : path) + "/" + procedure.substring(prefix().length());
     }
 }
--- a/src/main/java/onyxpaddle/route/ProcedureTable.java
+++ b/src/main/java/onyxpaddle/route/ProcedureTable.java
@@ -7,20 +7,20 @@
 import java.util.TreeMap;
 
 /**
- * The procedures of one listener. One named in full goes before any prefix, and the longest prefix before shorter ones.
- * A call for which none holds goes nowhere.
+ * The procedures of one listener. A full name takes precedence over prefixes, and a longer prefix over shorter ones. A call that
+ * matches none is not routed.
  */
 public final class ProcedureTable {
     private final Map<String, Procedure> exact = new HashMap<>();
-    /** By the start that they stand for. */
+    /** Prefix patterns, by prefix. */
     private final TreeMap<String, Procedure> prefixes = new TreeMap<>();
     private final List<Procedure> all;
 
     public ProcedureTable(List<Procedure> procedures) {
         all = List.copyOf(procedures);
         for (Procedure p : procedures) {
-            if (p.prefix()) {
-                prefixes.put(p.start(), p);
+            if (p.isPrefix()) {
+                prefixes.put(p.prefix(), p);
             } else {
                 exact.put(p.pattern(), p);
             }
@@ -31,22 +31,22 @@
         return all;
     }
 
-    /** The one for a call; null where none holds. */
+    /** The matching entry for a call; null for none. */
     public Procedure find(String procedure) {
         Procedure found = exact.get(procedure);
-        String sought = procedure;
-        while (found == null && sought != null) {
-            Map.Entry<String, Procedure> near = prefixes.floorEntry(sought);
-            if (near == null || procedure.startsWith(near.getKey())) {
-                return near == null ? null : near.getValue();
+        String key = procedure;
+        while (found == null && key != null) {
+            Map.Entry<String, Procedure> floor = prefixes.floorEntry(key);
+            if (floor == null || procedure.startsWith(floor.getKey())) {
+                return floor == null ? null : floor.getValue();
             }
-            // Any prefix of the procedure that sorts lower is one of what the two have in common, or shorter.
-            sought = common(near.getKey(), sought);
+            // Any matching prefix that sorts lower is a prefix of what the two have in common.
+            key = commonPrefix(floor.getKey(), key);
         }
         return found;
     }
 
-    private static String common(String a, String b) {
+    private static String commonPrefix(String a, String b) {
         int i = 0;
         while (i < a.length() && i < b.length() && a.charAt(i) == b.charAt(i)) {
             i++;
@@ -54,14 +54,14 @@
         return a.substring(0, i);
     }
 
-    /** Those that stand duplicates: each with the one before it that has the same pattern, on any one listener. */
+    /** Maps each procedure whose pattern already occurred on the same listener to its first occurrence. */
     public static Map<Procedure, Procedure> duplicates(List<Procedure> procedures) {
         Map<Procedure, Procedure> duplicates = new java.util.LinkedHashMap<>();
-        List<Procedure> before = new ArrayList<>();
+        List<Procedure> earlier = new ArrayList<>();
         for (Procedure p : procedures) {
-            before.stream().filter(o -> o.listener().equals(p.listener()) && o.pattern().equals(p.pattern())).findFirst()
+            earlier.stream().filter(o -> o.listener().equals(p.listener()) && o.pattern().equals(p.pattern())).findFirst()
                 .ifPresent(o -> duplicates.put(p, o));
-            before.add(p);
+            earlier.add(p);
         }
         return duplicates;
     }
--- a/src/main/java/onyxpaddle/route/Route.java
+++ b/src/main/java/onyxpaddle/route/Route.java
@@ -7,24 +7,22 @@
 import java.util.TreeSet;
 
 /**
- * Which requests go to which pool, as what class. All conditions given must hold.
+ * Assigns requests to a pool and a class. A request must meet all conditions that are given.
  *
- * @param name what people call it
- * @param listener the listener it belongs to
- * @param host a host without its port, {@code *.} before it for all names below it; null for any
- * @param path the start of the path, by whole segments: {@code /a} holds for {@code /a} and {@code /a/b}, not for
- *     {@code /ab}
+ * @param name the route's name in the configuration
+ * @param host a host without port, or {@code *.} and a domain for all names below it; null for any
+ * @param path a path prefix by whole segments: {@code /a} matches {@code /a} and {@code /a/b}, but not {@code /ab}
  * @param methods empty for any
- * @param headers names (in any case) and the one value that each must have
- * @param procedure what it is called where a server speaks MessagePack-RPC; null for none
- * @param rewrite what stands in place of {@code path} as the request goes on; null to leave it
+ * @param headers header names, which are case-insensitive, and the exact value that each must have
+ * @param procedure the procedure to call on servers that speak MessagePack-RPC; null for none
+ * @param rewrite replaces {@code path} in the forwarded request; null to keep it
  */
 public record Route(String name, String listener, String host, String path, Set<String> methods,
         Map<String, String> headers, String pool, String requestClass, String rewrite, String procedure) {
-    /** The methods that are routed. */
+    /** The supported methods. */
     public static final Set<String> METHODS = Set.of("GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS");
 
-    /** One that goes to servers of HTTP alone. */
+    /** A route to HTTP servers only. */
     public Route(String name, String listener, String host, String path, Set<String> methods,
             Map<String, String> headers, String pool, String requestClass, String rewrite) {
         this(name, listener, host, path, methods, headers, pool, requestClass, rewrite, null);
@@ -39,22 +37,22 @@
         headers = Map.copyOf(lower);
     }
 
-    /** The target as it goes on: {@code path} without query. */
-    public String rewrittenPath(String asked) {
+    /** The path of the forwarded request; {@code requestPath}: without query. */
+    public String rewrittenPath(String requestPath) {
         if (rewrite == null) {
-            return asked;
+            return requestPath;
         }
-        String rest = path.equals("/") ? asked : asked.substring(path.length());
+        String rest = path.equals("/") ? requestPath : requestPath.substring(path.length());
         String joined = (rewrite.equals("/") ? "" : rewrite) + (rest.isEmpty() || rest.startsWith("/") ? rest : "/" + rest);
         return joined.isEmpty() ? "/" : joined;
     }
 
-    boolean holdsForPath(String asked) {
-        return path.equals("/") || asked.startsWith(path)
-            && (asked.length() == path.length() || asked.charAt(path.length()) == '/');
+    boolean matchesPath(String requestPath) {
+        return path.equals("/") || requestPath.startsWith(path)
+            && (requestPath.length() == path.length() || requestPath.charAt(path.length()) == '/');
     }
 
-    /** Its conditions, for people. */
+    /** A human-readable summary of the conditions. */
     public String conditions() {
         return (host == null ? "" : "host " + host + ", ") + "path " + path
             + (methods.isEmpty() ? "" : ", method " + String.join("/", new TreeSet<>(methods)))
--- a/src/main/java/onyxpaddle/route/RouteConflicts.java
+++ b/src/main/java/onyxpaddle/route/RouteConflicts.java
@@ -7,35 +7,35 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Finds routes between which nothing decides, and routes that can never win. */
+/** Finds ambiguous and shadowed routes. */
 public final class RouteConflicts {
-    /** {@code ambiguous}: the two tie on some request; otherwise {@code other} takes all that would be {@code route}'s. */
+    /** {@code ambiguous}: some request matches both with equal precedence; otherwise {@code other} shadows {@code route}. */
     public record Conflict(Route route, Route other, boolean ambiguous) {
     }
 
     private RouteConflicts() {
     }
 
-    /** The conflicts among routes of any listeners, each by the route that stands later. */
+    /** All conflicts between routes of the same listener. Each ambiguity is reported at the later route. */
     public static List<Conflict> find(List<Route> routes) {
         List<Conflict> conflicts = new ArrayList<>();
         Map<String, List<Route>> byListener = new HashMap<>();
         routes.forEach(r -> byListener.computeIfAbsent(r.listener(), l -> new ArrayList<>()).add(r));
-        for (List<Route> own : byListener.values()) {
-            Set<Route> tied = new HashSet<>();
-            for (int i = 0; i < own.size(); i++) {
+        for (List<Route> routesOfListener : byListener.values()) {
+            Set<Route> ambiguous = new HashSet<>();
+            for (int i = 0; i < routesOfListener.size(); i++) {
                 for (int j = 0; j < i; j++) {
-                    if (tie(own.get(i), own.get(j))) {
-                        conflicts.add(new Conflict(own.get(i), own.get(j), true));
-                        tied.add(own.get(i));
-                        tied.add(own.get(j));
+                    if (isAmbiguous(routesOfListener.get(i), routesOfListener.get(j))) {
+                        conflicts.add(new Conflict(routesOfListener.get(i), routesOfListener.get(j), true));
+                        ambiguous.add(routesOfListener.get(i));
+                        ambiguous.add(routesOfListener.get(j));
                         break;
                     }
                 }
             }
-            RouteTable table = new RouteTable(own);
-            for (Route route : own) {
-                Route winner = tied.contains(route) ? null : shadow(table, route);
+            RouteTable table = new RouteTable(routesOfListener);
+            for (Route route : routesOfListener) {
+                Route winner = ambiguous.contains(route) ? null : shadowingRoute(table, route);
                 if (winner != null) {
                     conflicts.add(new Conflict(route, winner, false));
                 }
@@ -44,24 +44,24 @@
         return conflicts;
     }
 
-    /** Whether some request meets the conditions of both and the order of precedence does not tell them apart. */
-    private static boolean tie(Route a, Route b) {
+    /** Whether some request meets the conditions of both routes and the order of precedence does not decide between them. */
+    private static boolean isAmbiguous(Route a, Route b) {
         boolean sameHost = a.host() == null ? b.host() == null : a.host().equals(b.host());
         if (!sameHost || !a.path().equals(b.path()) || a.methods().isEmpty() != b.methods().isEmpty()
                 || a.headers().size() != b.headers().size()) {
             return false;
         }
-        boolean methodsMeet = a.methods().isEmpty() || a.methods().stream().anyMatch(b.methods()::contains);
-        boolean headersMeet = a.headers().entrySet().stream()
+        boolean methodsOverlap = a.methods().isEmpty() || a.methods().stream().anyMatch(b.methods()::contains);
+        boolean headersOverlap = a.headers().entrySet().stream()
             .allMatch(h -> b.headers().getOrDefault(h.getKey(), h.getValue()).equals(h.getValue()));
-        return methodsMeet && headersMeet;
+        return methodsOverlap && headersOverlap;
     }
 
     /**
-     * The route that takes what would be this one's, or null. A route wins something if it wins one of the requests
-     * that meet its conditions and, as far as they leave that open, nobody else's.
+     * The route that takes all requests that match the given one, or null if it can win some. That is decided by probing with
+     * requests that meet its conditions and leave as many conditions of other routes as possible unmet.
      */
-    private static Route shadow(RouteTable table, Route route) {
+    private static Route shadowingRoute(RouteTable table, Route route) {
         String host = route.host() == null ? null : route.host().replaceFirst("^\\*", "any");
         String below = route.path().equals("/") ? "/any-other" : route.path() + "/any-other";
         Route winner = null;
--- a/src/test/java/onyxpaddle/http/HttpFrontHarness.java
+++ b/src/test/java/onyxpaddle/http/HttpFrontHarness.java
@@ -25,40 +25,41 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import onyxpaddle.drain.NodeState;
-import onyxpaddle.front.ListeningFront.Surroundings;
+import onyxpaddle.front.ListeningFront.SharedResources;
 import onyxpaddle.node.ResourceBudget;
 import onyxpaddle.node.Clock;
 import onyxpaddle.node.SocketBuffers;
 
 /**
- * An HTTP front with real connections whose clock and whose periodic tasks are the test's: it decides when the front looks at its
- * connections and when the end takes a step, and so what has come to a socket by then. Requests are questions for readiness, which
- * the front answers by itself.
+ * An HTTP front with real connections but a manual clock and manually triggered periodic tasks, so that a test controls when the
+ * front checks its connections and takes the steps of a shutdown, and what has arrived in a socket by then. The only supported
+ * request is the readiness check, which the front answers itself.
  */
 final class HttpFrontHarness implements AutoCloseable {
     static final String READY = "GET /ready HTTP/1.1\r\nHost: node\r\n\r\n";
-    static final long MILLI = 1_000_000L;
-    static final long LONGEST_IDLE = 60_000 * MILLI;
-    static final long PATIENCE = 1_000 * MILLI;
-    private static final int PATIENCE_MS = 20_000;
+    static final long NANOS_PER_MS = 1_000_000L;
+    static final long IDLE_TIMEOUT_NANOS = 60_000 * NANOS_PER_MS;
+    static final long CALLER_TIMEOUT_NANOS = 1_000 * NANOS_PER_MS;
+    private static final int TEST_TIMEOUT_MS = 20_000;
     private static final int DESCRIPTORS = 1_024;
-    private static final long HEAP = 1L << 26;
-    /** Of a client: small, so that what it leaves unread is soon the node's to hold. */
-    private static final int RECEIVE_BUFFER = 16 * 1024;
+    private static final long HEAP_BYTES = 1L << 26;
+    /** Small, so that answers which a client does not read soon accumulate in the node. */
+    private static final int RECEIVE_BUFFER_BYTES = 16 * 1024;
 
     final NodeState state = new NodeState();
     final HttpFront front;
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
     private final List<Runnable> periodic = new ArrayList<>();
-    /** The listener's, and then those of its clients as they come. */
+    /** The listener's channel, followed by those of accepted connections in order. */
     private final BlockingQueue<Channel> channels = new LinkedBlockingQueue<>();
     private final Channel listener;
-    private volatile long now = 1_700_000_000_000L * MILLI;
+    private volatile long now = 1_700_000_000_000L * NANOS_PER_MS;
     private volatile boolean ended;
 
     HttpFrontHarness() throws Exception {
-        EventLoop captured = (EventLoop) Proxy.newProxyInstance(HttpFrontHarness.class.getClassLoader(), new Class<?>[] {EventLoop.class},
+        EventLoop capturingLoop = (EventLoop) Proxy.newProxyInstance(HttpFrontHarness.class.getClassLoader(),
+            new Class<?>[] {EventLoop.class},
             (proxy, method, arguments) -> {
                 if (method.getName().equals("scheduleWithFixedDelay")) {
                     periodic.add((Runnable) arguments[0]);
@@ -79,8 +80,8 @@
                 return now;
             }
         };
-        front = new HttpFront(new Surroundings(captured, SocketBuffers.allocator(), clock, new ResourceBudget(DESCRIPTORS, HEAP), state),
-            new ReadinessOnly(), () -> true);
+        front = new HttpFront(new SharedResources(capturingLoop, SocketBuffers.allocator(), clock,
+            new ResourceBudget(DESCRIPTORS, HEAP_BYTES), state), new ReadinessOnly(), () -> true);
         front.listen(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0), false).sync();
         listener = channels.take();
         onLoop(() -> {
@@ -89,7 +90,7 @@
         });
     }
 
-    /** Reads no request but the question for readiness. */
+    /** Rejects every request except the readiness check. */
     private static final class ReadinessOnly implements RequestDialect {
         @Override
         public RoutedRequest read(HttpRequest request, InetSocketAddress caller) throws RequestRejectedException {
@@ -103,17 +104,17 @@
 
         @Override
         public long maxCallerTimeout() {
-            return PATIENCE;
+            return CALLER_TIMEOUT_NANOS;
         }
 
         @Override
         public long firstRequestTimeout() {
-            return LONGEST_IDLE;
+            return IDLE_TIMEOUT_NANOS;
         }
 
         @Override
         public long idleTimeout() {
-            return LONGEST_IDLE;
+            return IDLE_TIMEOUT_NANOS;
         }
 
         @Override
@@ -122,37 +123,37 @@
         }
     }
 
-    // ---- what the test decides ----
+    // ---- control of the front ----
 
-    /** Does it as one task of the loop: the loop comes to no socket meanwhile. */
+    /** Runs it as one task of the event loop, which processes no socket meanwhile. */
     <T> T onLoop(Callable<T> task) throws Exception {
-        return loop.submit(task).get(PATIENCE_MS, TimeUnit.MILLISECONDS);
+        return loop.submit(task).get(TEST_TIMEOUT_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** Waits until the loop sees that it holds. */
+    /** Waits until the condition, evaluated on the event loop, is true. */
     void await(Callable<Boolean> check) throws Exception {
-        long end = System.nanoTime() + PATIENCE_MS * MILLI;
+        long end = System.nanoTime() + TEST_TIMEOUT_MS * NANOS_PER_MS;
         while (!onLoop(check)) {
-            assertTrue(System.nanoTime() < end, "waited in vain");
+            assertTrue(System.nanoTime() < end, "condition not met in time");
             Thread.onSpinWait();
         }
     }
 
-    /** Time passes, once the loop has dealt with what was heard of it. */
-    void pass(long millis) throws Exception {
-        onLoop(() -> now += millis * MILLI);
+    /** Advances the clock, as a task of the event loop. */
+    void advance(long millis) throws Exception {
+        onLoop(() -> now += millis * NANOS_PER_MS);
     }
 
     long now() {
         return now;
     }
 
-    /** The front looks at each of its connections; on the loop. */
+    /** Runs the front's periodic check of its connections. Must be called on the event loop. */
     void sweep() {
         periodic.get(0).run();
     }
 
-    /** Begins the planned end. */
+    /** Begins a graceful shutdown. */
     void end() throws Exception {
         onLoop(() -> {
             front.end(() -> ended = true);
@@ -160,59 +161,58 @@
         });
     }
 
-    /** The end takes its next step; on the loop. */
+    /** Runs the next step of the shutdown. Must be called on the event loop. */
     void endStep() {
         periodic.get(1).run();
     }
 
-    /** Whether the front has said that its end is done. */
+    /** Whether the front has reported that its shutdown is complete. */
     boolean ended() {
         return ended;
     }
 
-    /** Waits until the listener has closed. */
     void awaitListenerClosed() {
-        assertTrue(listener.closeFuture().awaitUninterruptibly(PATIENCE_MS));
+        assertTrue(listener.closeFuture().awaitUninterruptibly(TEST_TIMEOUT_MS));
     }
 
     // ---- clients ----
 
-    /** A connection that the front has accepted. */
-    Client client() throws Exception {
+    /** Opens a connection that the front has accepted. */
+    Client connect() throws Exception {
         return new Client(front.address(), channels);
     }
 
     static final class Client implements AutoCloseable {
-        static final int ENDED = -1;
+        static final int CLOSED = -1;
         final Socket socket = new Socket();
-        /** The front's side of it. */
+        /** The front's side of the connection. */
         final Channel channel;
 
-        private Client(InetSocketAddress to, BlockingQueue<Channel> accepted) throws Exception {
-            socket.setSoTimeout(PATIENCE_MS);
+        private Client(InetSocketAddress address, BlockingQueue<Channel> accepted) throws Exception {
+            socket.setSoTimeout(TEST_TIMEOUT_MS);
             socket.setTcpNoDelay(true);
-            socket.setReceiveBufferSize(RECEIVE_BUFFER);
-            socket.connect(to);
-            channel = accepted.poll(PATIENCE_MS, TimeUnit.MILLISECONDS);
+            socket.setReceiveBufferSize(RECEIVE_BUFFER_BYTES);
+            socket.connect(address);
+            channel = accepted.poll(TEST_TIMEOUT_MS, TimeUnit.MILLISECONDS);
         }
 
-        Client say(String text) throws IOException {
+        Client send(String text) throws IOException {
             socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
             return this;
         }
 
-        /** The status of the next answer; {@link #ENDED} where the node has ended the connection in order. */
-        int hear() throws IOException {
-            return hear(socket.getInputStream());
+        /** The status of the next answer; {@link #CLOSED} if the node closed the connection without a reset. */
+        int readStatus() throws IOException {
+            return readStatus(socket.getInputStream());
         }
 
-        /** The same, of any connection. */
-        static int hear(InputStream in) throws IOException {
+        /** Reads the status from the input of any connection. */
+        static int readStatus(InputStream in) throws IOException {
             ByteArrayOutputStream head = new ByteArrayOutputStream();
             while (!head.toString(StandardCharsets.ISO_8859_1).endsWith("\r\n\r\n")) {
                 int next = in.read();
                 if (next < 0) {
-                    return ENDED;
+                    return CLOSED;
                 }
                 head.write(next);
             }
--- a/src/test/java/onyxpaddle/http/ReadThrottleTest.java
+++ b/src/test/java/onyxpaddle/http/ReadThrottleTest.java
@@ -7,58 +7,58 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** Small pieces are left to gather, and what has no room is not read, whichever of the two ends first. */
+/** Reading after small reads is delayed, and stays off while paused, whether the delay or the pause ends first. */
 class ReadThrottleTest {
     private final EmbeddedChannel channel = new EmbeddedChannel();
-    private final ReadThrottle pace = new ReadThrottle(channel);
+    private final ReadThrottle throttle = new ReadThrottle(channel);
 
-    private void pieces(int count, int bytes) {
+    private void reads(int count, int bytes) {
         for (int i = 0; i < count; i++) {
-            pace.read(bytes);
-            pace.readComplete(true);
+            throttle.read(bytes);
+            throttle.readComplete(true);
         }
     }
 
-    private void moment() {
-        channel.advanceTimeBy(ReadThrottle.GATHER_MS, TimeUnit.MILLISECONDS);
+    private void passDelay() {
+        channel.advanceTimeBy(ReadThrottle.DELAY_MS, TimeUnit.MILLISECONDS);
         channel.runScheduledPendingTasks();
     }
 
-    private boolean reads() {
+    private boolean autoRead() {
         return channel.config().isAutoRead();
     }
 
     @Test
-    void afterAFewPiecesTheNextAreLeftToGather() {
+    void readsAreDelayedAfterSeveralSmallOnes() {
         channel.freezeTime();
-        pieces(ReadThrottle.MANY_PIECES - 1, 50);
-        assertTrue(reads());
-        pieces(1, 50);
-        assertFalse(reads());
-        moment();
-        assertTrue(reads());
-        pieces(1, 50);
-        assertFalse(reads(), "and the next again");
+        reads(ReadThrottle.SMALL_READS_LIMIT - 1, 50);
+        assertTrue(autoRead());
+        reads(1, 50);
+        assertFalse(autoRead());
+        passDelay();
+        assertTrue(autoRead());
+        reads(1, 50);
+        assertFalse(autoRead(), "the next small read is delayed again");
     }
 
     @Test
-    void largeReadsAndEndsAreNotWaitedFor() {
-        pieces(20, 16 * 1024);
-        assertTrue(reads());
-        pieces(ReadThrottle.MANY_PIECES - 1, 50);
-        pace.readComplete(false);
-        pieces(1, 50);
-        assertTrue(reads(), "an answer that ended begins the count anew");
+    void largeReadsAndCompleteAnswersAreNotDelayed() {
+        reads(20, 16 * 1024);
+        assertTrue(autoRead());
+        reads(ReadThrottle.SMALL_READS_LIMIT - 1, 50);
+        throttle.readComplete(false);
+        reads(1, 50);
+        assertTrue(autoRead(), "the end of an answer resets the count");
     }
 
     @Test
-    void pauseOutlastsTheMomentAndResumeEndsBoth() {
+    void pauseOutlastsTheDelayAndResumeEndsBoth() {
         channel.freezeTime();
-        pieces(ReadThrottle.MANY_PIECES, 50);
-        pace.pause();
-        moment();
-        assertFalse(reads(), "there is no room yet");
-        pace.resume();
-        assertTrue(reads());
+        reads(ReadThrottle.SMALL_READS_LIMIT, 50);
+        throttle.pause();
+        passDelay();
+        assertFalse(autoRead(), "still paused");
+        throttle.resume();
+        assertTrue(autoRead());
     }
 }
--- a/src/test/java/onyxpaddle/http/RequestAtCloseTest.java
+++ b/src/test/java/onyxpaddle/http/RequestAtCloseTest.java
@@ -15,142 +15,142 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * The moment before a front closes a client's connection: what has come to its socket by then is answered, and what is on its way to
- * the client is not cut. The loop is held in one task from before the client writes until the front has decided, so the request is in
- * the socket and unread whenever the front looks.
+ * Guards against losing requests and answers when a front closes an idle connection: a request that is in the socket by then must
+ * be answered, and an answer that is still being sent must not be cut. The event loop is held in one task from before the client
+ * writes until the front has decided, so that the request is in the socket and unread when the front checks the connection.
  */
 class RequestAtCloseTest {
-    /** Just over an idle second, as an emptied node, or one with a successor, leaves them; under any limit on unread answers. */
-    private static final long IDLE_GOES_MS = 1_100;
-    /** The last connection came long enough before for the listener to close. */
-    private static final long LISTENER_GOES_MS = 800;
-    /** Beyond the longest that a caller waits and what the end adds to it, and within the time that is left for last words. */
-    private static final long END_MS = 1_600;
-    private static final int PIECE = 16 * 1024;
-    private HttpFrontHarness rig;
+    /** Just over the second for which a draining or replaced node keeps idle connections; below any limit on unread answers. */
+    private static final long IDLE_CLOSE_MS = 1_100;
+    /** The time after the last accept at which a node that shuts down closes its listener. */
+    private static final long LISTENER_CLOSE_MS = 800;
+    /** Beyond the longest caller timeout and the shutdown's grace period, but within the extra time for late requests. */
+    private static final long SHUTDOWN_MS = 1_600;
+    private static final int CHUNK_BYTES = 16 * 1024;
+    private HttpFrontHarness harness;
 
     /** Why a connection between requests is closed. */
     private enum Reason { IDLE, DRAINING, ENDING, REPLACED }
 
     @BeforeEach
     void start() throws Exception {
-        rig = new HttpFrontHarness();
+        harness = new HttpFrontHarness();
     }
 
     @AfterEach
     void stop() throws Exception {
-        rig.close();
+        harness.close();
     }
 
-    /** The state changes, and time passes until such a connection goes. */
-    private void becomesDue(Reason reason) throws Exception {
+    /** Changes the state and advances the clock until an idle connection is closed for that reason. */
+    private void reachCloseTime(Reason reason) throws Exception {
         switch (reason) {
-            case IDLE -> rig.pass(HttpFrontHarness.LONGEST_IDLE / HttpFrontHarness.MILLI + 1);
+            case IDLE -> harness.advance(HttpFrontHarness.IDLE_TIMEOUT_NANOS / HttpFrontHarness.NANOS_PER_MS + 1);
             case DRAINING -> {
-                assertTrue(rig.state.drain(rig.now()));
-                rig.pass(IDLE_GOES_MS);
+                assertTrue(harness.state.drain(harness.now()));
+                harness.advance(IDLE_CLOSE_MS);
             }
             case ENDING, REPLACED -> {
-                rig.state.end(rig.now(), reason == Reason.REPLACED, HttpFrontHarness.PATIENCE, 0);
-                rig.pass(END_MS);
+                harness.state.end(harness.now(), reason == Reason.REPLACED, HttpFrontHarness.CALLER_TIMEOUT_NANOS, 0);
+                harness.advance(SHUTDOWN_MS);
             }
         }
     }
 
     @ParameterizedTest
     @EnumSource
-    void connectionThatGoesWithARequestUnreadIsNotClosed(Reason reason) throws Exception {
-        try (Client client = rig.client()) {
-            assertEquals(200, client.say(HttpFrontHarness.READY).hear());
-            becomesDue(reason);
-            rig.onLoop(() -> {
-                client.say(HttpFrontHarness.READY);
-                rig.sweep();
+    void unreadRequestIsAnsweredBeforeClose(Reason reason) throws Exception {
+        try (Client client = harness.connect()) {
+            assertEquals(200, client.send(HttpFrontHarness.READY).readStatus());
+            reachCloseTime(reason);
+            harness.onLoop(() -> {
+                client.send(HttpFrontHarness.READY);
+                harness.sweep();
                 return null;
             });
-            assertEquals(reason == Reason.IDLE ? 200 : 503, client.hear());
+            assertEquals(reason == Reason.IDLE ? 200 : 503, client.readStatus());
         }
     }
 
-    /** The same without a request: the look is not what keeps it open. */
+    /** Counter-check without a request: the check itself does not keep the connection open. */
     @ParameterizedTest
     @EnumSource
-    void connectionThatGoesWithNothingUnreadIsClosed(Reason reason) throws Exception {
-        try (Client client = rig.client()) {
-            assertEquals(200, client.say(HttpFrontHarness.READY).hear());
-            becomesDue(reason);
-            rig.onLoop(() -> {
-                rig.sweep();
+    void connectionWithoutUnreadRequestIsClosed(Reason reason) throws Exception {
+        try (Client client = harness.connect()) {
+            assertEquals(200, client.send(HttpFrontHarness.READY).readStatus());
+            reachCloseTime(reason);
+            harness.onLoop(() -> {
+                harness.sweep();
                 return null;
             });
-            assertEquals(Client.ENDED, client.hear());
+            assertEquals(Client.CLOSED, client.readStatus());
         }
     }
 
-    /** The process would go in the very step in which the request is found. */
+    /** The request is found in the very step in which the process would exit. */
     @Test
-    void requestThatIsUnreadAtTheLastStepOfTheEndIsAnswered() throws Exception {
-        try (Client client = rig.client()) {
-            assertEquals(200, client.say(HttpFrontHarness.READY).hear());
-            rig.state.end(rig.now(), false, HttpFrontHarness.PATIENCE, 0);
-            rig.end();
-            rig.pass(LISTENER_GOES_MS);
+    void unreadRequestAtLastShutdownStepIsAnswered() throws Exception {
+        try (Client client = harness.connect()) {
+            assertEquals(200, client.send(HttpFrontHarness.READY).readStatus());
+            harness.state.end(harness.now(), false, HttpFrontHarness.CALLER_TIMEOUT_NANOS, 0);
+            harness.end();
+            harness.advance(LISTENER_CLOSE_MS);
             endStep();
-            rig.awaitListenerClosed();
-            rig.pass(END_MS - LISTENER_GOES_MS);
-            rig.onLoop(() -> {
-                client.say(HttpFrontHarness.READY);
-                rig.endStep();
+            harness.awaitListenerClosed();
+            harness.advance(SHUTDOWN_MS - LISTENER_CLOSE_MS);
+            harness.onLoop(() -> {
+                client.send(HttpFrontHarness.READY);
+                harness.endStep();
                 return null;
             });
-            assertEquals(503, client.hear());
-            assertFalse(rig.ended());
+            assertEquals(503, client.readStatus());
+            assertFalse(harness.ended());
             endStep();
-            assertTrue(rig.ended());
-            assertEquals(Client.ENDED, client.hear());
+            assertTrue(harness.ended());
+            assertEquals(Client.CLOSED, client.readStatus());
         }
     }
 
     private void endStep() throws Exception {
-        rig.onLoop(() -> {
-            rig.endStep();
+        harness.onLoop(() -> {
+            harness.endStep();
             return null;
         });
     }
 
-    /** A client that reads nothing: its last answer lies with the node, behind what the system takes no more of. */
+    /** The client reads nothing, so the socket buffers are full and its last answer is still queued in the node. */
     @ParameterizedTest
     @EnumSource(names = {"DRAINING", "ENDING", "REPLACED"})
-    void connectionThatGoesWithAnAnswerUnsentIsNotClosed(Reason reason) throws Exception {
-        try (Client client = rig.client()) {
-            assertEquals(200, client.say(HttpFrontHarness.READY).hear());
-            long filled = rig.onLoop(() -> fill(client.channel));
-            long before = rig.onLoop(() -> unsent(client.channel));
-            client.say(HttpFrontHarness.READY);
-            rig.await(() -> unsent(client.channel) > before);
-            becomesDue(reason);
-            rig.onLoop(() -> {
-                rig.sweep();
+    void unsentAnswerIsDeliveredBeforeClose(Reason reason) throws Exception {
+        try (Client client = harness.connect()) {
+            assertEquals(200, client.send(HttpFrontHarness.READY).readStatus());
+            long filled = harness.onLoop(() -> fill(client.channel));
+            long before = harness.onLoop(() -> unsent(client.channel));
+            client.send(HttpFrontHarness.READY);
+            harness.await(() -> unsent(client.channel) > before);
+            reachCloseTime(reason);
+            harness.onLoop(() -> {
+                harness.sweep();
                 return null;
             });
             InputStream in = client.socket.getInputStream();
             in.skipNBytes(filled);
-            assertEquals(200, client.hear());
+            assertEquals(200, client.readStatus());
         }
     }
 
-    /** Writes to a client until the system takes no more; returns how much, in bytes. Answers find the connection writable still. */
+    /** Fills the socket buffers of a connection, which stays writable for answers; returns the number of bytes written. */
     private static long fill(Channel channel) {
         long filled = 0;
         do {
-            channel.pipeline().firstContext().writeAndFlush(Unpooled.wrappedBuffer(new byte[PIECE]));
-            filled += PIECE;
+            channel.pipeline().firstContext().writeAndFlush(Unpooled.wrappedBuffer(new byte[CHUNK_BYTES]));
+            filled += CHUNK_BYTES;
         } while (unsent(channel) == 0);
         assertTrue(channel.isWritable());
         return filled;
     }
 
-    /** What the system has not taken of what was written, in bytes. */
+    /** Bytes written to the channel that the operating system has not accepted. */
     private static long unsent(Channel channel) {
         return channel.unsafe().outboundBuffer().totalPendingWriteBytes();
     }
--- a/src/test/java/onyxpaddle/route/ProcedureTableTest.java
+++ b/src/test/java/onyxpaddle/route/ProcedureTableTest.java
@@ -13,7 +13,7 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-/** Which procedure holds for a call. */
+/** Precedence of procedure patterns. */
 class ProcedureTableTest {
     private static Procedure of(String pattern) {
         return new Procedure("p", "in", pattern, "pool", "class", null);
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void inFullBeforePrefixAndLongBeforeShort() {
+    void fullNameBeforePrefixAndLongerPrefixFirst() {
         assertEquals("a.b", found("a.b", "*", "a.*", "a.b", "a.b*"));
         assertEquals("a.b*", found("a.bc", "*", "a.*", "a.b", "a.b*"));
         assertEquals("a.*", found("a.x", "*", "a.*", "a.b", "a.b*"));
@@ -35,27 +35,27 @@
         assertNull(found("x"));
     }
 
-    /** Prefixes that sort between the call and its own prefix don't hide that. */
+    /** Prefixes that sort between a call's name and its matching prefix must not hide the latter. */
     @Test
-    void othersInBetweenHideNothing() {
+    void prefixesSortedInBetweenHideNothing() {
         assertEquals("pat*", found("patient.zoo", "pat*", "patient.a*", "patient.b*", "patient.y*"));
     }
 
     @Property(tries = 500, seed = "46")
-    void asALookThroughAllWould(@ForAll Random random) {
+    void findsTheSameAsALinearScan(@ForAll Random random) {
         Set<String> patterns = new HashSet<>();
         for (int i = random.nextInt(12); i > 0; i--) {
-            patterns.add(word(random) + (random.nextBoolean() ? "*" : ""));
+            patterns.add(randomName(random) + (random.nextBoolean() ? "*" : ""));
         }
         patterns.remove("");
         List<Procedure> all = new ArrayList<>(patterns.stream().map(ProcedureTableTest::of).toList());
         ProcedureTable table = new ProcedureTable(all);
         for (int i = 0; i < 20; i++) {
-            String method = word(random) + "x";
+            String method = randomName(random) + "x";
             Procedure best = null;
             for (Procedure p : all) {
-                boolean holds = p.prefix() ? method.startsWith(p.start()) : method.equals(p.pattern());
-                if (holds && (best == null || !p.prefix() || best.prefix() && p.start().length() > best.start().length())) {
+                boolean matches = p.isPrefix() ? method.startsWith(p.prefix()) : method.equals(p.pattern());
+                if (matches && (best == null || !p.isPrefix() || best.isPrefix() && p.prefix().length() > best.prefix().length())) {
                     best = p;
                 }
             }
@@ -63,16 +63,16 @@
         }
     }
 
-    private static String word(Random random) {
-        StringBuilder word = new StringBuilder();
+    private static String randomName(Random random) {
+        StringBuilder name = new StringBuilder();
         for (int i = random.nextInt(5); i > 0; i--) {
-            word.append((char) ('a' + random.nextInt(3)));
+            name.append((char) ('a' + random.nextInt(3)));
         }
-        return word.toString();
+        return name.toString();
     }
 
     @Test
-    void pathsForMappedOnes() {
+    void mappedPath() {
         assertEquals("/rpc/add", new Procedure("p", "in", "patient.*", "pool", "c", "/rpc").mapped("patient.add"));
         assertEquals("/add", new Procedure("p", "in", "patient.*", "pool", "c", "/").mapped("patient.add"));
         assertEquals("/book", new Procedure("p", "in", "visit.book", "pool", "c", "/book").mapped("visit.book"));
@@ -80,7 +80,7 @@
     }
 
     @Test
-    void twiceOnOneListener() {
+    void duplicatesOnOneListener() {
         Procedure first = of("a");
         Procedure second = new Procedure("q", "in", "a", "pool", "class", null);
         Procedure elsewhere = new Procedure("r", "other", "a", "pool", "class", null);
--- a/src/test/java/onyxpaddle/route/RouteTableTest.java
+++ b/src/test/java/onyxpaddle/route/RouteTableTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Which route a request takes, and which sets of routes are refused. */
+/** Precedence among routes, and the detection of conflicting ones. */
 class RouteTableTest {
     private static Route route(String name, String host, String path, Set<String> methods, Map<String, String> headers,
             String rewrite) {
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void whereNothingHoldsThereIsNoRoute() {
+    void noMatchGivesNoRoute() {
         RouteTable table = new RouteTable(List.of(route("one", "h", "/a", Set.of("GET"), Map.of(), null)));
         assertNull(table.find("h", "/", "GET", h -> null));
         assertNull(table.find("h", "/ab", "GET", h -> null));
@@ -65,12 +65,12 @@
     @ParameterizedTest
     @CsvSource({"/slots, /v2/slots, /slots/5, /v2/slots/5", "/slots, /, /slots, /", "/slots, /, /slots/5, /5",
         "/, /v2, /x, /v2/x", "/, /v2, /, /v2/", "/slots, /v2, /slots, /v2"})
-    void rewriteStandsInPlaceOfThePrefix(String path, String rewrite, String asked, String expected) {
-        assertEquals(expected, route("r", null, path, Set.of(), Map.of(), rewrite).rewrittenPath(asked));
+    void rewriteReplacesThePrefix(String path, String rewrite, String requestPath, String expected) {
+        assertEquals(expected, route("r", null, path, Set.of(), Map.of(), rewrite).rewrittenPath(requestPath));
     }
 
     @Test
-    void orderOfWritingDecidesNothing() {
+    void orderInTheConfigurationHasNoEffect() {
         List<Route> routes = new ArrayList<>(TABLE.routes());
         for (int i = 0; i < 50; i++) {
             Collections.shuffle(routes, new Random(i));
@@ -84,7 +84,7 @@
     }
 
     @Test
-    void tiesAndShadowsAreFound() {
+    void findsAmbiguousAndShadowedRoutes() {
         Route a = at("a", "/x");
         Route same = at("same", "/x/");
         Route get = route("get", null, "/y", Set.of("GET", "HEAD"), Map.of(), null);
@@ -104,9 +104,9 @@
         assertEquals(List.of(), RouteConflicts.find(List.of(elsewhere, every)));
     }
 
-    /** Against the order of precedence as it is stated, one condition at a time, over random tables and requests. */
+    /** Compares random tables and requests with a direct implementation of the documented order of precedence. */
     @Property(tries = 500, seed = "20261201")
-    void findsWhatTheStatedOrderSays(@ForAll long seed) {
+    void findFollowsTheDocumentedPrecedence(@ForAll long seed) {
         Random random = new Random(seed);
         String[] hosts = {null, "a.b", "*.b", "*.a.b"};
         String[] paths = {"/", "/p", "/p/q", "/pq"};
