--- a/src/main/java/onyxpaddle/front/FrontConnection.java
+++ b/src/main/java/onyxpaddle/front/FrontConnection.java
@@ -2,29 +2,29 @@
 
 import onyxpaddle.node.Dispatcher;
 
-/** One caller's connection, as its front sees it. Used on the event loop alone. */
+/** A caller's connection as seen by its front. Used on the event loop only. */
 public interface FrontConnection {
-    /** Closes it at once. */
+    /** Closes the connection at once. */
     void close();
 
-    /** PollTimes whether it has been slow, idle or unread for longer than it may; {@code now}: by the node's clock. */
+    /** Checks the connection's limits on slow requests, idle time and unread answers; {@code now}: by the node's clock. */
     void sweep(long now);
 
     /**
-     * The node has not listened for so many nanoseconds before {@code now}: what it has silence and slowness counted from moves on
-     * by as much, to {@code now} at most, as the caller may have spoken meanwhile.
+     * Accounts for a stall of {@code span} nanoseconds before {@code now}: moves the start of idle and read time-outs forward by as
+     * much, to {@code now} at most, as the caller may have sent something meanwhile.
      */
     void compensateStall(long span, long now);
 
     /**
-     * Whether it can be closed with nothing lost: no request is taken, or lies unread in its socket, and no answer is on its way to
-     * the system. Closing over what is unread resets the connection, and its caller never hears.
+     * Whether it can be closed without loss: no request is in progress or lies unread in its socket, and no answer is still to be
+     * written to the system. Closing with unread data resets the connection, and the caller gets no answer.
      */
     boolean safeToClose();
 
-    /** Whether a request that was taken has no answer yet, or one that the system has not wholly got. */
+    /** Whether an accepted request has no answer yet, or one that is not completely written to the system. */
     boolean waits();
 
-    /** Whether a request that is not yet answered is, or will be, this pool's. */
+    /** Whether a request without an answer yet is, or will be, routed to this pool. */
     boolean uses(Dispatcher pool);
 }
--- a/src/main/java/onyxpaddle/front/ListeningFront.java
+++ b/src/main/java/onyxpaddle/front/ListeningFront.java
@@ -24,28 +24,28 @@
 import onyxpaddle.socket.PollableChannel;
 
 /**
- * What a front does whatever its protocol: a listener and when it takes connections, how many are open and which of them
- * goes when there are too many, the regular look at each, and the planned end. When a node lets go of what is
- * {@link NodeState}'s to say; a protocol says what an idle connection is and how it is told.
+ * The protocol-independent part of a front: the listener and when it accepts, the number of open connections and which of them is
+ * evicted when there are too many, the periodic check of each, and the planned shutdown. {@link NodeState} decides when
+ * something is closed; the protocol defines what an idle connection is and how its caller is told.
  */
 public abstract class ListeningFront<C extends FrontConnection> implements Front {
     private static final int BACKLOG = 4096;
     private static final long END_STEP_MS = 50;
-    /** What comes in the end's last moment is turned away for so long still: two steps, of the 0.15 s before SIGKILL may come. */
-    private static final long LAST_WORDS = 100_000_000L;
+    /** How long requests that arrive at the very end are still refused: two steps, of the 0.15 s left before SIGKILL may come. */
+    private static final long FINAL_REFUSAL_WINDOW = 100_000_000L;
 
-    /** What a front shares with the rest of its node. */
-    public record Surroundings(EventLoop loop, ByteBufAllocator allocator, Clock clock, ResourceBudget budget, NodeState state) {
+    /** The resources that a front shares with the rest of its node. */
+    public record SharedResources(EventLoop loop, ByteBufAllocator allocator, Clock clock, ResourceBudget budget, NodeState state) {
     }
 
     protected final Clock clock;
     protected final NodeState state;
-    private final Surroundings around;
+    private final SharedResources resources;
     private final SharedLimit.Share connections;
     private final long sweepMs;
-    private final WriteBufferWaterMark marks;
-    private final StallDetector attention;
-    /** The one that came first is first. */
+    private final WriteBufferWaterMark waterMarks;
+    private final StallDetector stallDetector;
+    /** In the order of their accepts. */
     private final Set<C> open = new LinkedHashSet<>();
     private SharedListener listener;
     private Future<?> sweeping;
@@ -54,30 +54,30 @@
     private boolean retired;
     private long acceptedAt;
 
-    /** {@code sweepMs}: how often each connection is looked at; {@code marks}: of what a connection holds unwritten, in bytes. */
-    protected ListeningFront(Surroundings around, long sweepMs, WriteBufferWaterMark marks) {
-        this.around = around;
-        this.clock = around.clock();
-        this.state = around.state();
-        this.connections = around.budget().front();
+    /** {@code sweepMs}: interval of the checks of each connection; {@code waterMarks}: of a connection's unwritten bytes. */
+    protected ListeningFront(SharedResources resources, long sweepMs, WriteBufferWaterMark waterMarks) {
+        this.resources = resources;
+        this.clock = resources.clock();
+        this.state = resources.state();
+        this.connections = resources.budget().front();
         this.sweepMs = sweepMs;
-        this.marks = marks;
-        this.attention = new StallDetector(TimeUnit.MILLISECONDS.toNanos(sweepMs));
+        this.waterMarks = waterMarks;
+        this.stallDetector = new StallDetector(TimeUnit.MILLISECONDS.toNanos(sweepMs));
     }
 
-    // ---- what a protocol adds ----
+    // ---- defined by the protocol ----
 
-    /** Sets up a connection that has just come. */
+    /** Sets up a connection that was just accepted. */
     protected abstract void begin(PollableChannel channel);
 
-    /** The connection that goes where there are too many, {@code newest} being the last that came; null for none. */
+    /** The connection to close when there are too many, {@code newest} being the last accepted; null for none. */
     protected abstract C evictionCandidate(C newest);
 
-    /** A connection is gone. */
+    /** Called when a connection is gone. */
     protected void gone(C connection) {
     }
 
-    /** Whether its listener closes now, as the process ends. */
+    /** Whether the listener closes now as the process ends. */
     protected boolean closesListener(long now) {
         return state.closesListener(acceptedAt, now);
     }
@@ -86,16 +86,16 @@
 
     @Override
     public ChannelFuture listen(InetSocketAddress address, boolean shared) {
-        sweeping = around.loop().scheduleWithFixedDelay(this::sweep, sweepMs, sweepMs, TimeUnit.MILLISECONDS);
-        ChannelFuture bound = new ServerBootstrap().group(around.loop()).channel(SharedListener.class)
+        sweeping = resources.loop().scheduleWithFixedDelay(this::sweep, sweepMs, sweepMs, TimeUnit.MILLISECONDS);
+        ChannelFuture bound = new ServerBootstrap().group(resources.loop()).channel(SharedListener.class)
             .option(ChannelOption.SO_BACKLOG, BACKLOG)
             .option(SharedListener.REUSE_PORT, shared)
             .option(ChannelOption.SO_REUSEADDR, true)
             .option(ChannelOption.AUTO_READ, false)
-            .childOption(ChannelOption.ALLOCATOR, around.allocator())
+            .childOption(ChannelOption.ALLOCATOR, resources.allocator())
             .childOption(ChannelOption.TCP_NODELAY, true)
             .childOption(ChannelOption.RECVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(SocketBuffers.READ_SIZE))
-            .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, marks)
+            .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, waterMarks)
             .childHandler(new ChannelInitializer<PollableChannel>() {
                 @Override
                 protected void initChannel(PollableChannel channel) {
@@ -140,7 +140,7 @@
         connections.leave();
     }
 
-    // ---- how many are open ----
+    // ---- connections ----
 
     @Override
     public boolean empty() {
@@ -162,23 +162,23 @@
     }
 
     /**
-     * Takes a connection in. Where there are many, one that has no request open goes in its place. Guards against
-     * callers that hold connections and ask nothing, or never come to an end with asking; what is taken is never
+     * Registers a connection. Near the limit one without an open request is evicted for it. This protects the front from
+     * callers that hold connections without sending a request, or without ever completing one; accepted requests are never
      * given up for it. Under such a flood it may cut off a slow but honest caller.
      */
     public void opened(C c) {
         acceptedAt = clock.now();
         open.add(c);
         connections.forceTake(1);
-        C goes = nearConnectionLimit() ? evictionCandidate(c) : null;
-        if (goes != null) {
-            // It is let go of here and now: its own word that it has closed comes only after further accepts.
-            closed(goes);
-            goes.close();
+        C evicted = nearConnectionLimit() ? evictionCandidate(c) : null;
+        if (evicted != null) {
+            // Removed at once: the notification of its close comes only after further accepts.
+            closed(evicted);
+            evicted.close();
         }
         if (connections.room() <= 0) {
-            // What waits in the backlog is accepted as far as its caller knows: it is taken in again as soon as
-            // any other connection has closed.
+            // To its caller a connection in the backlog is established: accepting resumes as soon as another connection
+            // has closed.
             listener.config().setAutoRead(false);
         }
     }
@@ -188,51 +188,51 @@
             connections.giveBack(1);
         }
         gone(c);
-        acceptAgain();
+        resumeAccepting();
     }
 
-    private void acceptAgain() {
+    private void resumeAccepting() {
         if (opened && listener.isOpen() && !listener.config().isAutoRead() && connections.room() > 0) {
             listener.config().setAutoRead(true);
         }
     }
 
-    /** Whether there are so many callers that a further request is turned away. */
+    /** Whether there are so many callers that further requests are refused. */
     public boolean nearConnectionLimit() {
-        return around.budget().nearConnectionLimit(connections);
+        return resources.budget().nearConnectionLimit(connections);
     }
 
     /**
-     * PollTimes at each connection. Guards against a process that goes on after it stood still and closes, before it reads, the
-     * connections on which requests came meanwhile: each is a request lost. A caller that is silent on purpose keeps its
-     * connection for as much longer as the node stood still.
+     * Checks the limits of each connection. After a stall the process would otherwise close connections as idle before it reads the
+     * requests that arrived on them meanwhile, and each of these would be lost. The cost: a caller that is silent on purpose keeps
+     * its connection for longer by the time of the stall.
      */
     private void sweep() {
         long now = clock.now();
-        long stood = attention.looks(now);
+        long stalled = stallDetector.check(now);
         for (C c : List.copyOf(open)) {
-            if (stood > 0) {
-                c.compensateStall(stood, now);
+            if (stalled > 0) {
+                c.compensateStall(stalled, now);
             }
             c.sweep(now);
         }
-        // Another front may have given back what this one waits for.
-        acceptAgain();
+        // Another front may have returned the connections that this one waits for.
+        resumeAccepting();
     }
 
-    // ---- the planned end ----
+    // ---- planned shutdown ----
 
     @Override
     public void end(Runnable done) {
         if (ending == null) {
-            ending = around.loop().scheduleWithFixedDelay(() -> endStep(done), 1, END_STEP_MS, TimeUnit.MILLISECONDS);
+            ending = resources.loop().scheduleWithFixedDelay(() -> endStep(done), 1, END_STEP_MS, TimeUnit.MILLISECONDS);
         }
     }
 
     /**
-     * Connections in the backlog count as taken, so the listener stays until none comes any more; open ones are kept to
-     * the last, as their callers may have no other node to turn to just then. Should SIGKILL come sooner than it is said
-     * to, more is lost this way than by closing at once.
+     * Connections in the backlog count as accepted, so the listener stays open until no more arrive. Open connections are kept to
+     * the last, as their callers may have no other node at that moment. If SIGKILL comes earlier than announced, more is lost
+     * this way than by closing at once.
      */
     private void endStep(Runnable done) {
         long now = clock.now();
@@ -243,14 +243,14 @@
             return;
         }
         sweep();
-        if (open.stream().anyMatch(FrontConnection::waits) || !open.isEmpty() && !state.over(now)) {
+        if (open.stream().anyMatch(FrontConnection::waits) || !open.isEmpty() && !state.expired(now)) {
             return;
         }
         boolean safeToClose = true;
         for (C c : List.copyOf(open)) {
             safeToClose &= c.safeToClose();
         }
-        if (safeToClose || state.over(now - LAST_WORDS)) {
+        if (safeToClose || state.expired(now - FINAL_REFUSAL_WINDOW)) {
             ending.cancel(false);
             List.copyOf(open).forEach(FrontConnection::close);
             done.run();
--- a/src/main/java/onyxpaddle/front/LoopClock.java
+++ b/src/main/java/onyxpaddle/front/LoopClock.java
@@ -7,101 +7,101 @@
 import io.netty.channel.IoRegistration;
 import onyxpaddle.node.Clock;
 
-/** The clock of a node with one event loop, which tells it when it looks at its sockets. */
+/** The clock of a node with one event loop, whose polls it observes. */
 public final class LoopClock extends Clock {
-    private final PollTimes looks = new PollTimes();
+    private final PollTimes pollTimes = new PollTimes();
 
     @Override
     public long earliestArrival() {
-        return looks.earliestArrival(now());
+        return pollTimes.earliestArrival(now());
     }
 
     @Override
     public long lag() {
-        return looks.lag();
+        return pollTimes.lag();
     }
 
-    /** Makes the handler of the loop that this is the clock of. */
-    public IoHandlerFactory instrument(IoHandlerFactory inner) {
-        return executor -> new Watched(inner.newHandler(executor));
+    /** Wraps the factory of the event loop's I/O handler so that this clock observes its polls. */
+    public IoHandlerFactory instrument(IoHandlerFactory delegate) {
+        return executor -> new InstrumentedHandler(delegate.newHandler(executor));
     }
 
-    /** Passes everything on, and tells when a look begins and ends: Netty asks whether to time its work right after the one. */
-    private final class Watched implements IoHandler {
-        private final IoHandler inner;
-        private final Asked asked = new Asked();
+    /** Delegates all calls and records each poll; a poll has ended when Netty asks whether to time the work that follows it. */
+    private final class InstrumentedHandler implements IoHandler {
+        private final IoHandler delegate;
+        private final InstrumentedContext instrumented = new InstrumentedContext();
 
-        private Watched(IoHandler inner) {
-            this.inner = inner;
+        private InstrumentedHandler(IoHandler delegate) {
+            this.delegate = delegate;
         }
 
         @Override
         public int run(IoHandlerContext context) {
-            asked.of = context;
-            looks.begins(now());
-            return inner.run(asked);
+            instrumented.delegate = context;
+            pollTimes.pollStarted(now());
+            return delegate.run(instrumented);
         }
 
         @Override
         public void initialize() {
-            inner.initialize();
+            delegate.initialize();
         }
 
         @Override
         public void prepareToDestroy() {
-            inner.prepareToDestroy();
+            delegate.prepareToDestroy();
         }
 
         @Override
         public void destroy() {
-            inner.destroy();
+            delegate.destroy();
         }
 
         @Override
         public IoRegistration register(IoHandle handle) throws Exception {
-            return inner.register(handle);
+            return delegate.register(handle);
         }
 
         @Override
         public void wakeup() {
-            inner.wakeup();
+            delegate.wakeup();
         }
 
         @Override
         public boolean isCompatible(Class<? extends IoHandle> type) {
-            return inner.isCompatible(type);
+            return delegate.isCompatible(type);
         }
     }
 
-    private final class Asked implements IoHandlerContext {
-        private IoHandlerContext of;
+    private final class InstrumentedContext implements IoHandlerContext {
+        private IoHandlerContext delegate;
 
         @Override
         public boolean canBlock() {
-            return of.canBlock();
+            return delegate.canBlock();
         }
 
         @Override
         public long delayNanos(long now) {
-            long delay = of.delayNanos(now);
-            looks.waits(delay);
+            long delay = delegate.delayNanos(now);
+            pollTimes.mayBlockFor(delay);
             return delay;
         }
 
         @Override
         public long deadlineNanos() {
-            return of.deadlineNanos();
+            return delegate.deadlineNanos();
         }
 
         @Override
         public void reportActiveIoTime(long nanos) {
-            of.reportActiveIoTime(nanos);
+            delegate.reportActiveIoTime(nanos);
         }
 
         @Override
         public boolean shouldReportActiveIoTime() {
-            looks.looked(now());
-            return of.shouldReportActiveIoTime();
+            pollTimes.pollFinished(now());
+            return delegate.shouldReportActiveIoTime();
         }
     }
 }
--- a/src/main/java/onyxpaddle/front/PollTimes.java
+++ b/src/main/java/onyxpaddle/front/PollTimes.java
@@ -1,62 +1,65 @@
 package onyxpaddle.front;
 
 /**
- * When a loop looked at its sockets, and so when what it reads can have come: not when it is read, as a loop that is busy, stopped, or
- * gets little of a processor, reads late what its machine has long accepted. It does no I/O and is handed the time, in nanoseconds.
+ * Records when an event loop polled its sockets, which bounds when the data that it reads can have arrived. The time of the read is
+ * no measure of that: a loop that is busy, stopped or short of processor time reads late what the kernel accepted long
+ * before. It does no I/O and gets the time with every call, in nanoseconds.
  */
 final class PollTimes {
-    /** A look of a quick loop that took so long found nothing at first: what it then found has just come. */
-    private static final long WAITED = 1_000_000L;
-    /** A look that finds something at once is less of a busy turn than this part. */
-    private static final int SMALL_PART = 4;
-    /** What is left of an earlier turn's length after each shorter one, in eighths. */
-    private static final int FADES = 8;
-
-    private long begun;
-    private long planned;
-    private long last;
-    private long since;
-    private long longest;
-
-    /** It is about to look. */
-    void begins(long now) {
-        begun = now;
-        planned = 0;
-        if (last > 0) {
-            late(now - last);
+    /** On a fast core a poll that takes longer than this has found nothing at first: what it then returns has just arrived. */
+    private static final long BLOCK_TOLERANCE = 1_000_000L;
+    /** A poll that finds something at once takes less than a busy turn divided by this. */
+    private static final int SHORT_POLL_DIVISOR = 4;
+    /** Each shorter delay reduces the recorded maximum by the maximum divided by this. */
+    private static final int DECAY_DIVISOR = 8;
+
+    private long startedAt;
+    private long plannedBlock;
+    private long lastPoll;
+    private long earliest;
+    private long maxDelay;
+
+    /** The event loop is about to poll. */
+    void pollStarted(long now) {
+        startedAt = now;
+        plannedBlock = 0;
+        if (lastPoll > 0) {
+            recordDelay(now - lastPoll);
         }
     }
 
-    /** Where it finds nothing it waits for so long at the most, as something else is due then. */
-    void waits(long atMost) {
-        planned = atMost;
+    /** The poll blocks for at most so long if it finds nothing, as a timer is due then. */
+    void mayBlockFor(long maxNanos) {
+        plannedBlock = maxNanos;
     }
 
-    /** It has looked, and deals with what was found until it looks again. */
-    void looked(long now) {
-        long took = now - begun;
-        long over = took - planned;
-        // On a core that gives it little a look that finds something at once takes as long as one that waits does elsewhere, and what it
-        // finds may have lain there since the look before. Only one that was to wait, and took no small part of the turns of late, has waited.
-        boolean waited = planned > 0 && over <= WAITED && took > Math.max(WAITED, longest / SMALL_PART);
-        since = last == 0 || waited ? now : last;
-        if (over > WAITED) {
-            late(over);
+    /** The poll has returned; until the next one the event loop processes what was found. */
+    void pollFinished(long now) {
+        long duration = now - startedAt;
+        long excess = duration - plannedBlock;
+        // With little processor time a poll that returns at once takes as long as one that blocks does elsewhere, and its data may
+        // have been there since the previous poll. A poll counts as blocked only if it was allowed to block, and took no small
+        // part of the recent turns.
+        boolean blocked = plannedBlock > 0 && excess <= BLOCK_TOLERANCE
+            && duration > Math.max(BLOCK_TOLERANCE, maxDelay / SHORT_POLL_DIVISOR);
+        earliest = lastPoll == 0 || blocked ? now : lastPoll;
+        if (excess > BLOCK_TOLERANCE) {
+            recordDelay(excess);
         }
-        last = now;
+        lastPoll = now;
     }
 
-    private void late(long by) {
-        longest = Math.max(by, longest - longest / FADES);
+    private void recordDelay(long delay) {
+        maxDelay = Math.max(delay, maxDelay - maxDelay / DECAY_DIVISOR);
     }
 
-    /** What is read in this turn came at this time or later, as the look before did not find it; {@code now} before the first look. */
+    /** The earliest arrival of what is read in this turn, as the previous poll did not find it; {@code now} before the first poll. */
     long earliestArrival(long now) {
-        return last == 0 ? now : since;
+        return lastPoll == 0 ? now : earliest;
     }
 
-    /** How late the loop comes to what is due: the longest of its last turns and stops, which fades with shorter ones. */
+    /** How late the loop handles what is due: the longest recent turn or stall, which decays with each shorter one. */
     long lag() {
-        return longest;
+        return maxDelay;
     }
 }
--- a/src/main/java/onyxpaddle/front/SharedListener.java
+++ b/src/main/java/onyxpaddle/front/SharedListener.java
@@ -14,29 +14,29 @@
 import onyxpaddle.socket.PollableChannel;
 
 /**
- * A listener that two processes of one node may hold at one address, and that one of them can leave without resetting what
- * waits in its queue. Guards against connections that the system has taken for a process that ends: closing a listener of a
- * SO_REUSEPORT group resets them, and another process's queue does not get them. It should cover any end of a listener. What
- * comes between the last look at the queue and the close, some microseconds, is still reset.
+ * A listener that two processes of a node may bind to one address, and that one of them can leave without resetting the
+ * connections in its accept queue. Closing a listener of a SO_REUSEPORT group resets the connections that the system has
+ * queued for it, rather than moving them to the other process's queue; so every close of a listener should go through
+ * {@link #leave}. Connections that arrive between the last accept and the close, some microseconds, are still reset.
  */
 public final class SharedListener extends NioServerSocketChannel {
-    /** Both processes must say so before they bind; the first can't know that there will be a second, so it does always. */
+    /** Both processes must set this before they bind. The first can't know whether there will be a second, so it always does. */
     public static final ChannelOption<Boolean> REUSE_PORT = NioChannelOption.of(StandardSocketOptions.SO_REUSEPORT);
-    /** By then the selector has let go of the channel; before, the JDK puts a close off to its next select. */
-    private static final long UNREGISTERED_MS = 2;
+    /** By then the selector has released the channel; before that the JDK defers a close to its next select. */
+    private static final long DEREGISTER_DELAY_MS = 2;
 
     private boolean leaving;
 
-    /** Takes in all that waits, and closes. Once, on the event loop. */
+    /** Accepts all queued connections, then closes. Only the first call has an effect; called on the event loop. */
     public void leave() {
         if (leaving || !isOpen()) {
             return;
         }
         leaving = true;
-        deregister().addListener(f -> eventLoop().schedule(this::takeInAndClose, UNREGISTERED_MS, TimeUnit.MILLISECONDS));
+        deregister().addListener(f -> eventLoop().schedule(this::drainAndClose, DEREGISTER_DELAY_MS, TimeUnit.MILLISECONDS));
     }
 
-    /** As Netty does it, but for what is made of a connection. */
+    /** As in Netty, except for the type of the accepted channels. */
     @Override
     protected int doReadMessages(List<Object> accepted) throws Exception {
         SocketChannel next = SocketUtils.accept(javaChannel());
@@ -47,16 +47,16 @@
         return 1;
     }
 
-    private void takeInAndClose() {
+    private void drainAndClose() {
         ServerSocketChannel listener = javaChannel();
         try {
-            for (SocketChannel waiting = listener.accept(); waiting != null; waiting = listener.accept()) {
-                pipeline().fireChannelRead(new PollableChannel(this, waiting));
+            for (SocketChannel pending = listener.accept(); pending != null; pending = listener.accept()) {
+                pipeline().fireChannelRead(new PollableChannel(this, pending));
             }
             listener.close();
             pipeline().fireChannelReadComplete();
         } catch (IOException e) {
-            Log.failure("taking in what waits at a listener", e);
+            Log.failure("accepting queued connections of a closing listener failed", e);
         } finally {
             close();
         }
--- a/src/main/java/onyxpaddle/front/StallDetector.java
+++ b/src/main/java/onyxpaddle/front/StallDetector.java
@@ -1,28 +1,28 @@
 package onyxpaddle.front;
 
 /**
- * For how long a loop that should look at something regularly has not looked. A process that stood still, or got no processor,
- * goes on with its clocks far ahead and its sockets full of what came meanwhile; whoever judges silence by the clock must
- * first take off the time in which nobody listened. Does no I/O.
+ * Detects by how much a periodic check was delayed. A process that was stopped, or got no processor time, resumes with its clock far
+ * ahead and its sockets full of data that arrived meanwhile; idle and read time-outs must not count the time of the stall. It
+ * does no I/O.
  */
 final class StallDetector {
-    /** Later than planned by less than this is usual: garbage, a turn of much work. */
-    static final long USUAL = 50_000_000L;
+    /** Delays up to this are normal: a garbage collection, or a long turn of the event loop. */
+    static final long TOLERANCE = 50_000_000L;
 
-    private final long every;
-    private long looked;
-    private boolean begun;
+    private final long interval;
+    private long lastCheck;
+    private boolean started;
 
-    /** {@code every}: how often it is meant to look, in nanoseconds. */
-    StallDetector(long every) {
-        this.every = every;
+    /** {@code interval}: the planned time between checks, in nanoseconds. */
+    StallDetector(long interval) {
+        this.interval = interval;
     }
 
-    /** It looks now; returns for how long it stood still before, beyond its plan, in nanoseconds; 0 if it didn't. */
-    long looks(long now) {
-        long late = begun ? now - looked - every : 0;
-        begun = true;
-        looked = now;
-        return late > USUAL ? late : 0;
+    /** Records a check; returns by how much it is later than planned, in nanoseconds, or 0 if that is normal. */
+    long check(long now) {
+        long late = started ? now - lastCheck - interval : 0;
+        started = true;
+        lastCheck = now;
+        return late > TOLERANCE ? late : 0;
     }
 }
--- a/src/main/java/onyxpaddle/node/Addresses.java
+++ b/src/main/java/onyxpaddle/node/Addresses.java
@@ -5,12 +5,12 @@
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 
-/** Addresses as they stand in texts: {@code 10.0.0.4:8080} or {@code [::1]:8080}. */
+/** Parses socket addresses such as {@code 10.0.0.4:8080} or {@code [::1]:8080}. */
 public final class Addresses {
     private Addresses() {
     }
 
-    /** An address in digits; names are not looked up, as there is no DNS and a look-up would block. */
+    /** Parses an IP address with a port. Host names are rejected: there is no DNS, and a lookup would block the event loop. */
     public static InetSocketAddress parse(String text) throws IOException {
         int colon = text.lastIndexOf(':');
         String host = text.substring(0, Math.max(0, colon)).replaceAll("^\\[|\\]$", "");
@@ -22,18 +22,18 @@
             port = -1;
         }
         if (bytes == null || port < 0 || port > 65535) {
-            throw new IOException("not an address and port: " + text);
+            throw new IOException("not an IP address with a port: " + text);
         }
         return new InetSocketAddress(InetAddress.getByAddress(bytes), port);
     }
 
-    /** The address of digits that were checked before. */
-    public static InetSocketAddress of(String digits, int port) {
+    /** Builds an address from an IP address that was validated before. */
+    public static InetSocketAddress of(String literal, int port) {
         try {
-            return new InetSocketAddress(InetAddress.getByAddress(NetUtil.createByteArrayFromIpAddressString(digits)),
+            return new InetSocketAddress(InetAddress.getByAddress(NetUtil.createByteArrayFromIpAddressString(literal)),
                 port);
         } catch (IOException e) {
-            throw new IllegalArgumentException("not an address: " + digits, e);
+            throw new IllegalArgumentException("not an IP address: " + literal, e);
         }
     }
 }
--- a/src/main/java/onyxpaddle/node/Answer.java
+++ b/src/main/java/onyxpaddle/node/Answer.java
@@ -1,5 +1,5 @@
 package onyxpaddle.node;
 
-/** A server's answer as far as it is passed on, held whole. Whoever is given one releases its body, or passes it on. */
+/** A server's complete answer, as far as it is forwarded. Its receiver releases the body or hands it on. */
 public record Answer(Metadata head, Body body) {
 }
--- a/src/main/java/onyxpaddle/node/AnswerSink.java
+++ b/src/main/java/onyxpaddle/node/AnswerSink.java
@@ -2,28 +2,28 @@
 
 import io.netty.buffer.ByteBuf;
 
-/** Where an answer's body goes that is passed on as it comes. It hears one end, {@link #end} or {@link #broken}. */
+/** Receives the body of a streamed answer, which finishes with one call of {@link #end} or {@link #broken}. */
 public interface AnswerSink {
-    /** The next bytes, which are the sink's from here on. */
+    /** Takes the next bytes and their ownership. */
     void data(ByteBuf bytes);
 
-    /** What was handed over so far should leave now: no more has come. */
+    /** Writes out what was handed over so far: no more data is available at present. */
     void flush();
 
-    /** The body is whole. */
+    /** The body is complete. */
     void end();
 
-    /** The rest never comes: the caller must be able to tell. */
+    /** The rest of the body will not come; the caller must be able to detect the truncation. */
     void broken();
 
-    /** What the sink asks of the other side, by which it holds a window and no more. */
+    /** Flow control from the sink to the server's side, which bounds what the sink buffers. */
     interface Source {
-        /** Bring no more for now; what is on its way still comes. */
+        /** Stops reading from the server; bytes already read are still delivered. */
         void pause();
 
         void resume();
 
-        /** Nobody waits for the rest: the other side is let go of, and the sink hears nothing more. */
+        /** Discards the rest, as nobody waits for it; the sink gets no further calls. */
         void abandon();
     }
 }
--- a/src/main/java/onyxpaddle/node/Attempt.java
+++ b/src/main/java/onyxpaddle/node/Attempt.java
@@ -2,55 +2,56 @@
 
 import io.netty.util.concurrent.Future;
 
-/** One sending of a request to a server. It ends exactly once, by {@link Dispatcher#ended}. */
+/** One attempt to serve a request at a server. It ends exactly once, through {@link Dispatcher#ended}. */
 public final class Attempt {
     public final Exchange exchange;
     final int number;
     public final String server;
-    /** When it was sent; of a body that is passed on as it comes, when its last byte was. */
+    /** When it was sent; for a streamed body, when the last byte was sent. */
     long sentAt;
-    /** When it is given up, by the node's clock in nanoseconds. */
+    /** When it times out, by the node's clock in nanoseconds. */
     public long until;
-    TimerQueue.Item timer;
-    /** What carries it, such as a dial or a connection: the upstream's own, null before and after. */
+    TimerQueue.Entry timer;
+    /** What carries it, such as a pending connect or a connection. Owned by the upstream; null before and after. */
     public Object carrier;
-    private final RequestCounts tally;
-    private Future<?> setLastWrite;
+    private final RequestCounts counts;
+    private Future<?> lastWrite;
     private boolean written;
     boolean ended;
-    /** It has ended, and the server has certainly not run it. */
+    /** It has ended, and the server has certainly not run the request. */
     boolean neverRan;
 
-    Attempt(Exchange exchange, int number, String server, long sentAt, long until, RequestCounts tally) {
+    Attempt(Exchange exchange, int number, String server, long sentAt, long until, RequestCounts counts) {
         this.exchange = exchange;
         this.number = number;
         this.server = server;
         this.sentAt = sentAt;
         this.until = until;
-        this.tally = tally;
+        this.counts = counts;
     }
 
-    /** The write that has the request's last byte. */
+    /** Sets the write that contains the request's last byte. */
     public void setLastWrite(Future<?> last) {
-        setLastWrite = last;
+        lastWrite = last;
     }
 
     /**
-     * The operating system has the request's last byte: from here on the server may run it. The write itself is asked, as those who
-     * listen to it may hear so only after a reset or an answer has been read: it would count as never run, and be sent again.
+     * Whether the operating system has the request's last byte, after which the server may run the request. Checks the write itself,
+     * as its listeners may be notified only after a reset or an answer has been read: the request would then count as never run,
+     * and would be sent again.
      */
     public boolean written() {
-        if (!written && setLastWrite != null && setLastWrite.isSuccess()) {
+        if (!written && lastWrite != null && lastWrite.isSuccess()) {
             markWritten();
         }
         return written;
     }
 
-    /** Says that the last byte is written, once. */
+    /** Records that the last byte is written; further calls have no effect. */
     public void markWritten() {
         if (!written) {
             written = true;
-            tally.attemptWritten();
+            counts.attemptWritten();
         }
     }
 
--- a/src/main/java/onyxpaddle/node/Body.java
+++ b/src/main/java/onyxpaddle/node/Body.java
@@ -6,78 +6,78 @@
 import java.util.List;
 
 /**
- * A body held whole. It is copied out of the read buffers into pieces of its own: a peer that sends single bytes
- * would otherwise pin a read buffer for each of them, and the budget would not know.
+ * A body that is buffered completely. It is copied out of the read buffers into chunks of its own: a peer that sends
+ * single bytes would otherwise pin a read buffer for each of them, which the budget would not account for.
  */
 public final class Body {
-    /** The platform's limit, for requests and for answers. */
+    /** The platform's limit for bodies of requests and of answers. */
     public static final int DEFAULT_MAX_BYTES = 64 * 1024;
-    private static final int LARGEST_PIECE = 64 * 1024;
-    private static final int SMALL = 64 * 1024;
-    /** The part of a pool's bytes open to larger bodies, so that a few long uploads don't stop the rest. */
-    private static final double OPEN_TO_LARGE = 0.75;
+    private static final int MAX_CHUNK = 64 * 1024;
+    private static final int SMALL_BODY = 64 * 1024;
+    /** The part of a pool's bytes that is open to bodies beyond {@link #SMALL_BODY}, so that a few long uploads don't block the rest. */
+    private static final double LARGE_BODY_PART = 0.75;
 
     private final SharedLimit.Share budget;
-    private final long largest;
-    private final List<byte[]> pieces = new ArrayList<>(1);
-    private int firstPiece;
-    private int inLast;
+    private final long maxBytes;
+    private final List<byte[]> chunks = new ArrayList<>(1);
+    private int firstChunkSize;
+    private int lastLength;
     private long size;
-    private long taken;
+    private long reserved;
 
-    /** {@code expected}: the length that the peer states, or -1; {@code largest}: the most it may hold, in bytes. */
-    public Body(SharedLimit.Share budget, long expected, long largest) {
+    /** {@code expected}: the length that the peer announces, or -1; {@code maxBytes}: the size limit. */
+    public Body(SharedLimit.Share budget, long expected, long maxBytes) {
         this.budget = budget;
-        this.largest = largest;
-        this.firstPiece = (int) Math.min(Math.min(LARGEST_PIECE, largest), expected < 0 ? 1024 : Math.max(1, expected));
+        this.maxBytes = maxBytes;
+        this.firstChunkSize = (int) Math.min(Math.min(MAX_CHUNK, maxBytes), expected < 0 ? 1024 : Math.max(1, expected));
     }
 
-    /** Adds what the buffer holds; false if that is more than a body may hold or than the budget has room for. */
+    /** Appends the buffer's bytes; false if that exceeds the size limit or the budget. */
     public boolean add(ByteBuf more) {
-        if (size + more.readableBytes() > largest) {
+        if (size + more.readableBytes() > maxBytes) {
             return false;
         }
         while (more.isReadable()) {
-            if (pieces.isEmpty() || inLast == last().length) {
-                int next = pieces.isEmpty() ? firstPiece : Math.max(LARGEST_PIECE / 8, (int) Math.min(LARGEST_PIECE, size));
-                if (!budget.take(next, taken + next <= SMALL ? 1 : OPEN_TO_LARGE)) {
+            if (chunks.isEmpty() || lastLength == last().length) {
+                int next = chunks.isEmpty() ? firstChunkSize : Math.max(MAX_CHUNK / 8, (int) Math.min(MAX_CHUNK, size));
+                if (!budget.take(next, reserved + next <= SMALL_BODY ? 1 : LARGE_BODY_PART)) {
                     return false;
                 }
-                taken += next;
-                pieces.add(new byte[next]);
-                inLast = 0;
+                reserved += next;
+                chunks.add(new byte[next]);
+                lastLength = 0;
             }
-            int count = Math.min(more.readableBytes(), last().length - inLast);
-            more.readBytes(last(), inLast, count);
-            inLast += count;
+            int count = Math.min(more.readableBytes(), last().length - lastLength);
+            more.readBytes(last(), lastLength, count);
+            lastLength += count;
             size += count;
         }
         return true;
     }
 
     private byte[] last() {
-        return pieces.get(pieces.size() - 1);
+        return chunks.get(chunks.size() - 1);
     }
 
     public long size() {
         return size;
     }
 
-    /** All of it as one buffer. */
+    /** The complete body as one buffer, without copying. */
     public ByteBuf whole() {
-        ByteBuf[] all = new ByteBuf[pieces.size()];
+        ByteBuf[] all = new ByteBuf[chunks.size()];
         for (int i = 0; i < all.length; i++) {
-            byte[] piece = pieces.get(i);
-            all[i] = Unpooled.wrappedBuffer(piece, 0, i == all.length - 1 ? inLast : piece.length);
+            byte[] chunk = chunks.get(i);
+            all[i] = Unpooled.wrappedBuffer(chunk, 0, i == all.length - 1 ? lastLength : chunk.length);
         }
         return Unpooled.wrappedBuffer(all.length, all);
     }
 
-    /** Gives the bytes back to the budget; the body is not used after. */
+    /** Returns the bytes to the budget; the body must not be used afterwards. */
     public void release() {
-        budget.giveBack(taken);
-        taken = 0;
-        pieces.clear();
+        budget.giveBack(reserved);
+        reserved = 0;
+        chunks.clear();
         size = 0;
     }
 }
--- a/src/main/java/onyxpaddle/node/Caller.java
+++ b/src/main/java/onyxpaddle/node/Caller.java
@@ -1,46 +1,47 @@
 package onyxpaddle.node;
 
-/** Where a request came from. It hears exactly one final answer, on the event loop, unless it left before. */
+/** The source of a request. It gets exactly one final answer, on the event loop, unless it disconnects before. */
 public interface Caller {
-    /** Served; the answer is on loan until this returns, the arrays behind its body for longer. */
+    /** The request succeeded. The answer is valid until this returns, the arrays behind its body for longer. */
     void served(Answer answer);
 
     /**
-     * Whether it has gone, by closing its connection. Asked right before something is sent to a server for it.
+     * Whether the caller has closed its connection. Checked right before an attempt is sent for it.
      *
-     * @param unseen the loop has not looked at its sockets for long: the connection itself is looked at, or else what is known counts
+     * @param pollSocket whether to poll the connection itself, as the event loop has not polled its sockets for long; otherwise the
+     *     state as last seen is returned
      */
-    default boolean left(boolean unseen) {
+    default boolean left(boolean pollSocket) {
         return false;
     }
 
-    /** Whether an answer may be passed on to it as it comes. */
+    /** Whether answers may be streamed to it. */
     default boolean acceptsStreaming() {
         return false;
     }
 
     /**
-     * The answer beginAnswer, and what it brings goes to the sink that this returns; only where it {@link #acceptsStreaming}.
+     * Starts a streamed answer, whose body goes to the returned sink; called only if it {@link #acceptsStreaming}.
      *
-     * @param length of the body in bytes, or -1 where it isn't known
+     * @param length of the body in bytes, or -1 if unknown
      */
     default AnswerSink beginAnswer(Metadata head, long length, AnswerSink.Source source) {
-        throw new IllegalStateException("takes whole answers only");
+        throw new IllegalStateException("caller does not accept streamed answers");
     }
 
     /**
-     * Trying again is harmless.
+     * The request is refused; a retry does no harm.
      *
-     * @param retryAfter when to, in nanoseconds; 0 for no advice
-     * @param own what a server itself said of its failure, as in {@link #failed}
+     * @param retryAfter when to retry, in nanoseconds from now; 0 for no advice
+     * @param own a server's own answer on its failure, as in {@link #failed}
      */
     void refused(long retryAfter, Answer own);
 
     /**
-     * Failed, with no word on the effect.
+     * The request failed; whether it took effect is unknown.
      *
-     * @param late whether the caller's time is over
-     * @param own what the server itself said of the failure, on loan until this returns; null where it said nothing
+     * @param late whether the request's deadline has passed
+     * @param own the server's own answer on the failure, valid until this returns; null if it gave none
      */
     void failed(boolean late, Answer own);
 }
--- a/src/main/java/onyxpaddle/node/Clock.java
+++ b/src/main/java/onyxpaddle/node/Clock.java
@@ -1,9 +1,10 @@
 package onyxpaddle.node;
 
 /**
- * The node's one clock: Unix time at the start of the process, moved on by the monotonic counter only. The module
- * needs positive times that never step back, and takes a changed start time for a restarted server: as the origin
- * is the Unix epoch, {@code born_ms} converts by a constant factor and the same figure always gives the same time. Open, so that a test may hand in another.
+ * The node's single clock: Unix time at the start of the process, advanced by the monotonic counter only. The balancer
+ * needs positive times that never step back, and takes a changed start time for a restarted server: as the origin is the
+ * Unix epoch, {@code born_ms} converts by a constant factor and the same value always gives the same time. Not final, so
+ * that tests can supply their own.
  */
 public class Clock {
     private static final long MILLI = 1_000_000L;
@@ -16,17 +17,17 @@
         return epoch + (System.nanoTime() - start);
     }
 
-    /** What is read from a socket now came at this time or later; a clock that knows nothing of its loop says now. */
+    /** The earliest time at which data read now can have arrived; the current time if the event loop is not observed. */
     public long earliestArrival() {
         return now();
     }
 
-    /** How late the node comes to what is due, such as a time-out, as its loop went lately; in nanoseconds. */
+    /** How late the node handles what is due, such as time-outs, judged by its event loop's recent turns; in nanoseconds. */
     public long lag() {
         return 0;
     }
 
-    /** The time of a discovery entry's {@code born_ms}; 0 stays 0, "long ago". */
+    /** Converts a discovery entry's {@code born_ms}; 0 stays 0, which means long ago. */
     public static long ofMillis(long millis) {
         return millis * MILLI;
     }
--- a/src/main/java/onyxpaddle/node/Dispatcher.java
+++ b/src/main/java/onyxpaddle/node/Dispatcher.java
@@ -11,58 +11,58 @@
 import onyxpaddle.node.Exchange.Terms;
 
 /**
- * Stands between callers, servers and the module: turns what happens into the module's events, one at a time, and
- * carries out its actions in their order. It owns requests and attempts and sees to it that each attempt ends
- * once and each request has one answer; whom to send to, and when to stop, is the module's alone.
+ * Connects callers, servers and the balancer: turns what happens into the balancer's events, one at a time, and
+ * executes its actions in order. It owns requests and attempts and ensures that each attempt ends once and each
+ * request has one answer; the balancer alone decides which server to send to and when to stop.
  */
 public final class Dispatcher {
-    /** How long after its deadline a request that the module left unanswered is failed. */
-    private static final long GUARD = 8_000_000L;
-    /** An answer is lost half a second after its time; two fifths of that are kept for its way out. */
-    private static final long ALLOWED = 300_000_000L;
+    /** How long after its deadline a request that the balancer left unanswered is failed. */
+    private static final long OVERDUE_MARGIN = 8_000_000L;
+    /** How late after its deadline an answer may be given. It is lost after 0.5 s, of which 0.2 s are kept for its delivery. */
+    private static final long MAX_ANSWER_DELAY = 300_000_000L;
     /**
-     * What came to the sockets within so long may not have been seen yet. A caller that has gone is owed that nothing beginAnswer for it from
-     * 0.1 s on; half of that is left for the way of the attempt to its server.
+     * If the event loop's last poll is older than this, the caller's connection itself is polled before an attempt. No attempt may
+     * begin later than 0.1 s after its caller has closed; half of that is kept for the attempt's way to its server.
      */
-    private static final long UNSEEN = 50_000_000L;
-    /** How long a body that is passed on as it comes may take; its caller's front is stricter, by its pace. */
-    private static final long LONGEST_UPLOAD = 900_000_000_000L;
+    private static final long POLL_STALE_AFTER = 50_000_000L;
+    /** How long a streamed request body may take; the front's limit on the rate of the body is stricter. */
+    private static final long MAX_UPLOAD_TIME = 900_000_000_000L;
 
     private final Clock clock;
     private final ScheduledExecutorService loop;
-    private final RatioBalancer module;
+    private final RatioBalancer balancer;
     private final Limits limits;
     private final Map<String, Exchange> exchanges = new HashMap<>();
     private final ArrayDeque<Event> events = new ArrayDeque<>();
-    /** Null where the pool takes all that comes. */
+    /** Null if the pool has no bound on concurrent requests. */
     private final InFlightLimit limit;
-    private final RequestCounts tally;
-    /** Null where nothing is refused before the module is asked. */
-    private SiteGate gate;
+    private final RequestCounts counts;
+    /** Null if no request is refused before the balancer decides. */
+    private SiteGate siteGate;
     private Upstream upstream;
     private Runnable onSubscribe = () -> { };
-    private final TimerQueue agenda = new TimerQueue();
-    private long wakesAt = Long.MAX_VALUE;
-    private boolean busyWithDue;
-    private boolean delivering;
+    private final TimerQueue timers = new TimerQueue();
+    private long wakeUpAt = Long.MAX_VALUE;
+    private boolean runningTimers;
+    private boolean processing;
     private int unanswered;
-    /** Of this pool, by {@link RequestCounts.RequestResult}; the tally has them by class. */
-    private final long[] ends = new long[RequestCounts.RequestResult.values().length];
+    /** Results in this pool, by ordinal of {@link RequestCounts.RequestResult}; {@link RequestCounts} has them by class. */
+    private final long[] resultCounts = new long[RequestCounts.RequestResult.values().length];
 
-    /** {@code loop}: the one thread on which everything here happens. */
-    public Dispatcher(Clock clock, ScheduledExecutorService loop, RatioBalancer module, Limits limits, RequestCounts tally) {
-        this(clock, loop, module, limits, tally, null);
+    /** {@code loop}: the single thread on which all methods are called. */
+    public Dispatcher(Clock clock, ScheduledExecutorService loop, RatioBalancer balancer, Limits limits, RequestCounts counts) {
+        this(clock, loop, balancer, limits, counts, null);
     }
 
-    /** As the other, with a bound on requests at once. */
-    public Dispatcher(Clock clock, ScheduledExecutorService loop, RatioBalancer module, Limits limits, RequestCounts tally,
+    /** With a bound on concurrent requests; null for none. */
+    public Dispatcher(Clock clock, ScheduledExecutorService loop, RatioBalancer balancer, Limits limits, RequestCounts counts,
             InFlightLimit limit) {
         this.clock = clock;
         this.loop = loop;
-        this.module = module;
+        this.balancer = balancer;
         this.limits = limits;
         this.limit = limit;
-        this.tally = tally;
+        this.counts = counts;
     }
 
     public void connect(Upstream servers, Runnable subscribe) {
@@ -70,26 +70,26 @@
         onSubscribe = subscribe;
     }
 
-    /** Asks this gate before the module, from now on. */
-    public void guard(SiteGate by) {
-        gate = by;
+    /** Sets a gate that may refuse a request before the balancer decides. */
+    public void setSiteGate(SiteGate gate) {
+        siteGate = gate;
     }
 
-    /** How sites stand with this pool; null where nothing is known of sites. */
+    /** The status of each site for this pool; null if no sites are configured. */
     public List<SiteGate.Site> sites() {
-        return gate == null ? null : gate.siteStatuses(clock.now());
+        return siteGate == null ? null : siteGate.siteStatuses(clock.now());
     }
 
-    /** Operators hold a site, so that nothing new goes there, or release it; false where that can't be. */
+    /** Puts a site on hold for operators, so that it gets no new requests, or releases it; false if that is not possible. */
     public boolean setSiteHold(String site, boolean hold) {
-        if (gate == null || !gate.operators(clock.now(), site, hold)) {
+        if (siteGate == null || !siteGate.operators(clock.now(), site, hold)) {
             return false;
         }
-        tell(new ZoneShares(gate.shares()));
+        enqueue(new ZoneShares(siteGate.shares()));
         return true;
     }
 
-    /** Whether nothing is out any more, answered or not. */
+    /** Whether no request is left, neither an unanswered one nor an answered one with an open attempt. */
     public boolean idle() {
         return exchanges.isEmpty();
     }
@@ -98,154 +98,154 @@
         return exchanges.containsKey(id);
     }
 
-    // ---- figures ----
+    // ---- metrics and state ----
 
-    /** Requests that are taken and have no final answer yet. */
+    /** The number of accepted requests without a final answer. */
     public int unanswered() {
         return unanswered;
     }
 
-    /** How many requests of this pool have ended so. */
-    public long ended(RequestCounts.RequestResult how) {
-        return ends[how.ordinal()];
+    /** The number of this pool's requests that ended with this result. */
+    public long ended(RequestCounts.RequestResult result) {
+        return resultCounts[result.ordinal()];
     }
 
-    /** The servers on the list, and those of them that the module avoids now. */
+    /** The number of listed servers, and of those that the balancer avoids at present. */
     public FleetSummary fleet() {
-        return module.fleet(clock.now());
+        return balancer.fleet(clock.now());
     }
 
-    /** How each server on the list stands. */
+    /** The status of each listed server. */
     public List<ServerStatus> serverStatuses() {
-        return module.serverStatuses(clock.now());
+        return balancer.serverStatuses(clock.now());
     }
 
-    /** What the process that takes this one's place need not learn anew. */
+    /** The learnt state, for the process that replaces this one. */
     public BalancerSnapshot snapshot() {
-        return module.snapshot(clock.now());
+        return balancer.snapshot(clock.now());
     }
 
-    /** Goes on from what the process before this one has learnt. */
+    /** Restores the learnt state of the previous process. */
     public void restore(BalancerSnapshot snapshot) {
-        module.restore(snapshot);
+        balancer.restore(snapshot);
     }
 
-    /** An operator takes a server out, or puts it back; false where neither the list nor what is out has it. */
+    /** Disables or enables a server for an operator; false if it is neither listed nor disabled. */
     public boolean takeOut(String server, boolean out) {
-        if (!module.lists(server) && !module.isTakenOut(server)) {
+        if (!balancer.isListed(server) && !balancer.isTakenOut(server)) {
             return false;
         }
-        tell(new TakenOut(server, out));
+        enqueue(new TakenOut(server, out));
         return true;
     }
 
-    /** A front answered a request of this pool before it was taken. */
-    public void countResult(Terms terms, RequestCounts.RequestResult how) {
-        ends[how.ordinal()]++;
-        tally.ended(terms.requestClass().name(), how);
+    /** Counts the result of a request; fronts call this for requests that they answer without handing them to the pool. */
+    public void countResult(Terms terms, RequestCounts.RequestResult result) {
+        resultCounts[result.ordinal()]++;
+        counts.ended(terms.requestClass().name(), result);
     }
 
-    private void count(Exchange x, RequestCounts.RequestResult how) {
-        countResult(x.terms, how);
+    private void count(Exchange x, RequestCounts.RequestResult result) {
+        countResult(x.terms, result);
     }
 
-    // ---- what happens ----
+    // ---- events from callers, servers and discovery ----
 
     /**
-     * A request's last byte has been read: it is taken, and its time counts from here as long as the node is not far behind. Counted
-     * from {@code came}, when that byte came at the earliest, its answer is no later than {@link #ALLOWED}. Guards against a
-     * node short of processor time, which would give each request its whole time from when it got to it, and its caller an
-     * answer long after it has left; what has no time left is refused unsent. It would do harm where a long turn of the loop is
-     * taken for a long wait: a caller's last moments are then lost.
+     * A request has been read completely. Its time-out starts now, unless the node is far behind: the answer is due at most
+     * {@link #MAX_ANSWER_DELAY} after the time-out as counted from {@code arrivedAt}, the earliest possible arrival of the last byte.
+     * A node short of processor time would otherwise grant each request its full time from when it gets to it, and answer long
+     * after the caller has left. A request without any time left is refused unsent. The drawback: where a long turn of the event
+     * loop is mistaken for a long wait, the end of the caller's time is lost.
      */
-    public void arrived(Exchange x, long came) {
-        doWhatIsDue();
+    public void arrived(Exchange x, long arrivedAt) {
+        runDueTimers();
         long now = clock.now();
         Terms terms = x.terms;
-        long ends = terms.callerTimeout() + Math.min(now, came + ALLOWED);
-        if (ends <= now) {
-            x.over = true;
+        long endsAt = terms.callerTimeout() + Math.min(now, arrivedAt + MAX_ANSWER_DELAY);
+        if (endsAt <= now) {
+            x.finished = true;
             x.body.release();
             countResult(terms, RequestCounts.RequestResult.BUSY);
             x.caller.refused(0, null);
             return;
         }
         if (limit != null && !limit.admits(unanswered, terms.requestClass().worth())) {
-            x.over = true;
+            x.finished = true;
             x.body.release();
             countResult(terms, RequestCounts.RequestResult.BUSY);
             x.caller.refused(limit.retryAfter(), null);
             return;
         }
-        long away = gate == null ? SiteGate.ADMITTED : gate.refuses(now, terms.requestClass().name());
-        if (away != SiteGate.ADMITTED) {
-            x.over = true;
+        long retryAfter = siteGate == null ? SiteGate.ADMITTED : siteGate.refuses(now, terms.requestClass().name());
+        if (retryAfter != SiteGate.ADMITTED) {
+            x.finished = true;
             x.body.release();
             countResult(terms, RequestCounts.RequestResult.BUSY);
-            x.caller.refused(away, null);
+            x.caller.refused(retryAfter, null);
             return;
         }
-        x.came = came;
-        x.deadline = ends + (x.upload == null ? 0 : LONGEST_UPLOAD);
+        x.arrivedAt = arrivedAt;
+        x.deadline = endsAt + (x.upload == null ? 0 : MAX_UPLOAD_TIME);
         exchanges.put(x.id, x);
         unanswered++;
-        // Guards against a request that the module forgot, or lost to a fault of its own.
-        x.guard = agenda.add(x.deadline + GUARD, () -> overdue(x));
-        tell(new Arrival(x.id, terms.requestClass().name(), x.deadline, terms.tenant(), terms.cost(),
+        // Ends a request that the balancer left unanswered, for example after an exception.
+        x.overdueTimer = timers.add(x.deadline + OVERDUE_MARGIN, () -> overdue(x));
+        enqueue(new Arrival(x.id, terms.requestClass().name(), x.deadline, terms.tenant(), terms.cost(),
             terms.clientRetry()));
     }
 
-    /** The last byte of a body that was passed on as it came is with the server: the request's time counts from here. */
+    /** The last byte of a streamed request body is with the server: the request's time-out starts now. */
     public void uploaded(Attempt attempt) {
         Exchange x = attempt.exchange;
-        if (x.over || attempt.ended) {
+        if (x.finished || attempt.ended) {
             return;
         }
         long now = clock.now();
-        x.came = now;
+        x.arrivedAt = now;
         x.deadline = now + x.terms.callerTimeout();
-        x.guard.cancel();
-        x.guard = agenda.add(x.deadline + GUARD, () -> overdue(x));
+        x.overdueTimer.cancel();
+        x.overdueTimer = timers.add(x.deadline + OVERDUE_MARGIN, () -> overdue(x));
         attempt.sentAt = now;
         attempt.until = x.deadline;
         stopTimer(attempt);
-        attempt.timer = agenda.add(x.deadline, () -> expire(attempt));
-        doWhatIsDue();
+        attempt.timer = timers.add(x.deadline, () -> expire(attempt));
+        runDueTimers();
     }
 
     /**
-     * An attempt's answer beginAnswer and is passed on as it comes: it is the request's final one from here on, and has no
-     * time-out. The attempt still ends by {@link #ended}, without an answer. Null where nobody waits for it.
+     * Starts streaming an attempt's answer to the caller: it becomes the request's final answer, and has no time-out. The
+     * attempt still ends by {@link #ended}, without an answer. Null if nobody waits for it.
      */
     public AnswerSink beginAnswer(Attempt attempt, Metadata head, long length, AnswerSink.Source source) {
         Exchange x = attempt.exchange;
-        if (attempt.ended || x.over) {
+        if (attempt.ended || x.finished) {
             return null;
         }
         stopTimer(attempt);
-        x.over = true;
-        x.passing = attempt;
+        x.finished = true;
+        x.streaming = attempt;
         x.source = source;
-        x.guard.cancel();
+        x.overdueTimer.cancel();
         AnswerSink sink = x.caller.beginAnswer(head, length, source);
-        tell(new FirstByte(x.id, attempt.number, attempt.server, clock.now() - attempt.sentAt));
+        enqueue(new FirstByte(x.id, attempt.number, attempt.server, clock.now() - attempt.sentAt));
         return sink;
     }
 
     public void clientGone(Exchange x) {
-        if (x.passing != null) {
-            Attempt attempt = x.passing;
+        if (x.streaming != null) {
+            Attempt attempt = x.streaming;
             x.source.abandon();
             ended(attempt, Outcome.CANCELLED, null);
         } else if (finish(x)) {
-            tell(new ClientGone(x.id));
-            forget(x);
+            enqueue(new ClientGone(x.id));
+            removeIfDone(x);
         }
     }
 
     /**
-     * The end of an attempt. {@code answer} is what an OK has brought, or a server's own word for its failure, which
-     * is kept for the caller; null otherwise. It is the dispatcher's from here on.
+     * An attempt has ended. {@code answer} is the answer of an OK, or a server's own answer on its failure, which is kept
+     * for the caller; null otherwise. The dispatcher takes ownership of it.
      */
     public void ended(Attempt attempt, Outcome outcome, Answer answer) {
         if (attempt.ended) {
@@ -257,32 +257,32 @@
         attempt.carrier = null;
         stopTimer(attempt);
         Exchange x = attempt.exchange;
-        x.out--;
-        if (x.passing == attempt) {
-            x.passing = null;
+        x.pendingAttempts--;
+        if (x.streaming == attempt) {
+            x.streaming = null;
             unanswered--;
             count(x, outcome == Outcome.OK ? RequestCounts.RequestResult.SUCCESS : RequestCounts.RequestResult.FAILURE);
         } else if (outcome == Outcome.OK && finish(x)) {
             if (limit != null) {
-                limit.answered(clock.now() - x.came);
+                limit.answered(clock.now() - x.arrivedAt);
             }
             count(x, RequestCounts.RequestResult.SUCCESS);
             x.caller.served(answer);
-        } else if (answer != null && !x.over) {
+        } else if (answer != null && !x.finished) {
             release(x.failure);
             x.failure = answer;
             answer = null;
         }
         release(answer);
-        if (gate != null) {
-            gate.ended(clock.now(), attempt.server, outcome, clock.now() - attempt.sentAt);
+        if (siteGate != null) {
+            siteGate.ended(clock.now(), attempt.server, outcome, clock.now() - attempt.sentAt);
         }
-        // What is held of a body that has gone on in part is not the request any more.
-        Outcome how = outcome.neverRan && x.upload != null && x.upload.begun() ? Outcome.NOT_REPLAYABLE : outcome;
-        // Load reports are not passed on: the module takes no account of them.
-        tell(new AttemptEnded(x.id, attempt.number, attempt.server, how, clock.now() - attempt.sentAt, x.over,
+        // The request can't be sent again: a part of its body went to a server and is no longer held.
+        Outcome reported = outcome.neverRan && x.upload != null && x.upload.started() ? Outcome.NOT_REPLAYABLE : outcome;
+        // Load reports are not passed on: the balancer does not use them.
+        enqueue(new AttemptEnded(x.id, attempt.number, attempt.server, reported, clock.now() - attempt.sentAt, x.finished,
             null));
-        forget(x);
+        removeIfDone(x);
     }
 
     private static void release(Answer answer) {
@@ -292,101 +292,101 @@
     }
 
     public void membership(ListKind kind, List<ServerEntry> entries) {
-        if (gate != null) {
-            gate.listed(clock.now(), kind, entries);
+        if (siteGate != null) {
+            siteGate.listed(clock.now(), kind, entries);
         }
-        tell(new Membership(kind, entries));
+        enqueue(new Membership(kind, entries));
     }
 
     private void overdue(Exchange x) {
-        if (!x.over) {
-            Log.line("request " + x.id + " was left unanswered until its deadline");
+        if (!x.finished) {
+            Log.line("balancer left request " + x.id + " unanswered past its deadline; failing it");
             finish(x);
             count(x, RequestCounts.RequestResult.FAILURE);
             x.caller.failed(true, x.failure);
-            tell(new ClientGone(x.id));
-            forget(x);
+            enqueue(new ClientGone(x.id));
+            removeIfDone(x);
         }
     }
 
     private void expire(Attempt attempt) {
         if (!attempt.ended) {
-            // What was not written whole has never run, however long the wait was.
+            // A request that was not written completely has never run, however long the wait was.
             boolean written = attempt.written();
             upstream.giveUp(attempt);
             ended(attempt, written ? Outcome.TIMED_OUT : Outcome.CONNECT_FAILED, null);
         }
     }
 
-    // ---- the module ----
+    // ---- the balancer ----
 
-    /** Queues an event; the module is never called from within its own actions. */
-    private void tell(Event event) {
+    /** Queues an event and processes the queue; the balancer is never called while its actions are being executed. */
+    private void enqueue(Event event) {
         events.add(event);
-        if (delivering) {
+        if (processing) {
             return;
         }
-        delivering = true;
+        processing = true;
         try {
             for (Event next = events.poll(); next != null; next = events.poll()) {
-                deliver(next);
+                process(next);
             }
         } finally {
-            delivering = false;
+            processing = false;
         }
-        doWhatIsDue();
+        runDueTimers();
     }
 
-    // ---- what is due ----
+    // ---- timers ----
 
-    /** Does what is due now: after each thing that happens, and when the loop's own timer wakes it. */
-    private void doWhatIsDue() {
-        if (busyWithDue) {
+    /** Runs due timers: called after each event, and by the event loop's own timer. */
+    private void runDueTimers() {
+        if (runningTimers) {
             return;
         }
-        busyWithDue = true;
+        runningTimers = true;
         try {
-            for (TimerQueue.Item item = agenda.due(clock.now()); item != null; item = agenda.due(clock.now())) {
+            for (TimerQueue.Entry due = timers.pollDue(clock.now()); due != null; due = timers.pollDue(clock.now())) {
                 try {
-                    item.run();
+                    due.run();
                 } catch (RuntimeException e) {
-                    // It may stand within another request's arrival, which has no part in it.
-                    Log.failure("what was due failed", e);
+                    // This may run within the arrival of an unrelated request, which must not fail for it.
+                    Log.failure("timer task failed", e);
                 }
             }
         } finally {
-            busyWithDue = false;
+            runningTimers = false;
         }
-        long next = agenda.next();
-        if (next < wakesAt) {
-            wakesAt = next;
-            loop.schedule(() -> woken(next), next - clock.now(), TimeUnit.NANOSECONDS);
+        long next = timers.nextAt();
+        if (next < wakeUpAt) {
+            wakeUpAt = next;
+            loop.schedule(() -> onWakeUp(next), next - clock.now(), TimeUnit.NANOSECONDS);
         }
     }
 
-    private void woken(long plannedFor) {
-        if (wakesAt == plannedFor) {
-            wakesAt = Long.MAX_VALUE;
+    private void onWakeUp(long scheduledAt) {
+        if (wakeUpAt == scheduledAt) {
+            wakeUpAt = Long.MAX_VALUE;
         }
-        doWhatIsDue();
+        runDueTimers();
     }
 
-    private void deliver(Event event) {
+    private void process(Event event) {
         try {
-            for (Action action : module.handle(clock.now(), event)) {
-                carryOut(action);
+            for (Action action : balancer.handle(clock.now(), event)) {
+                execute(action);
             }
         } catch (RuntimeException e) {
-            // A fault in the module costs the request at hand, which its guard ends, and never the process.
-            Log.failure("the module failed on " + event.getClass().getSimpleName(), e);
+            // An exception in the balancer costs the current request, which its overdue timer ends, but not the process.
+            Log.failure("balancer failed on event " + event.getClass().getSimpleName(), e);
         }
     }
 
-    private void carryOut(Action action) {
+    private void execute(Action action) {
         if (action instanceof Send send) {
             send(send);
         } else if (action instanceof SetTimer timer) {
-            agenda.add(clock.now() + timer.after(), () -> tell(new Timer(timer.token())));
+            timers.add(clock.now() + timer.after(), () -> enqueue(new Timer(timer.token())));
         } else if (action instanceof Cancel cancel) {
             cancel(cancel);
         } else if (action instanceof Refuse refuse) {
@@ -394,14 +394,14 @@
             if (x != null && finish(x)) {
                 count(x, RequestCounts.RequestResult.BUSY);
                 x.caller.refused(refuse.retryAfter(), x.failure);
-                forget(x);
+                removeIfDone(x);
             }
         } else if (action instanceof Fail fail) {
             Exchange x = exchanges.get(fail.request());
             if (x != null && finish(x)) {
                 count(x, RequestCounts.RequestResult.FAILURE);
                 x.caller.failed(clock.now() >= x.deadline, x.failure);
-                forget(x);
+                removeIfDone(x);
             }
         } else if (action instanceof Subscribe) {
             onSubscribe.run();
@@ -417,27 +417,27 @@
         }
         long now = clock.now();
         long until = send.timeout() > 0 ? Math.min(x.deadline, now + send.timeout()) : x.deadline;
-        Attempt attempt = new Attempt(x, x.attempts.size(), send.server(), now, until, tally);
+        Attempt attempt = new Attempt(x, x.attempts.size(), send.server(), now, until, counts);
         x.attempts.add(attempt);
-        x.out++;
-        if (x.over || now >= until || attempt.number >= Math.min(limits.maxAttempts(), x.mostAttempts)) {
+        x.pendingAttempts++;
+        if (x.finished || now >= until || attempt.number >= Math.min(limits.maxAttempts(), x.maxAttempts)) {
             ended(attempt, Outcome.NOT_SENT, null);
             return;
         }
         if (mayBegin(attempt)) {
-            attempt.timer = agenda.add(until, () -> expire(attempt));
+            attempt.timer = timers.add(until, () -> expire(attempt));
             upstream.send(attempt);
         }
     }
 
     /**
-     * Whether an attempt may begin: asked as it is sent, and again by what carries it right before its first byte is written, as a dial
-     * or a queue takes time. Where it may not it has ended, unsent.
+     * Whether an attempt may begin. Checked when it is sent, and again by its carrier right before the first byte is written, as
+     * connecting and queueing take time. If not, the attempt has been ended as unsent.
      *
-     * <p>Guards against attempts for nobody: the caller's close lies in its socket while a timer, a time-out or another's answer
-     * starts the next attempt, or a dial comes up after the answer is given; and against a keyed request that is repeated after
-     * its servers have forgotten the key, where the time to repeat it ran out on the way. It does harm where a caller ends its
-     * sending alone and waits, as that counts as a close.
+     * <p>This prevents attempts for callers that have left: the close may lie unread in the socket while a timer, a time-out or another
+     * answer starts the next attempt, or a connect may succeed after the answer was given. It also prevents repeating a keyed
+     * request whose key the servers have forgotten meanwhile. The drawback: a caller that only shuts down its sending side and
+     * waits counts as one that has left.
      */
     public boolean mayBegin(Attempt attempt) {
         if (attempt.ended) {
@@ -445,10 +445,10 @@
         }
         Exchange x = attempt.exchange;
         long now = clock.now();
-        if (!x.over && x.caller.left(now - clock.earliestArrival() > UNSEEN)) {
+        if (!x.finished && x.caller.left(now - clock.earliestArrival() > POLL_STALE_AFTER)) {
             clientGone(x);
         }
-        if (!attempt.ended && (x.over || x.keyForgotten(attempt, now))) {
+        if (!attempt.ended && (x.finished || x.keyExpired(attempt, now))) {
             ended(attempt, Outcome.NOT_SENT, null);
         }
         return !attempt.ended;
@@ -466,21 +466,21 @@
         }
     }
 
-    // ---- ends ----
+    // ---- completion ----
 
-    /** Marks the request as answered; false if it was before. */
+    /** Marks the request as finished; false if it already was. */
     private boolean finish(Exchange x) {
-        if (x.over) {
+        if (x.finished) {
             return false;
         }
-        x.over = true;
-        x.guard.cancel();
+        x.finished = true;
+        x.overdueTimer.cancel();
         unanswered--;
         return true;
     }
 
-    private void forget(Exchange x) {
-        if (x.over && x.out == 0 && exchanges.remove(x.id, x)) {
+    private void removeIfDone(Exchange x) {
+        if (x.finished && x.pendingAttempts == 0 && exchanges.remove(x.id, x)) {
             x.body.release();
             release(x.failure);
         }
--- a/src/main/java/onyxpaddle/node/Exchange.java
+++ b/src/main/java/onyxpaddle/node/Exchange.java
@@ -5,73 +5,74 @@
 import onyxpaddle.BalancerApi.Effect;
 import onyxpaddle.BalancerApi.RequestClass;
 
-/** One request from a caller, from its head until its answer is given and no attempt is out any more. */
+/** A request from a caller, from its head until it has its answer and all of its attempts have ended. */
 public final class Exchange {
-    /** What a front tells of a request: {@code tenant} may be null, {@code cost} is in seconds, 0 for no hint. */
+    /** A request's parameters, set by the front: {@code tenant} may be null, {@code cost} is in seconds, 0 for no hint. */
     public record Terms(String id, RequestClass requestClass, long callerTimeout, String tenant, double cost,
             boolean clientRetry) {
     }
 
-    /** A request may have come so much later than it can have come at the earliest; a third of what may be told too much. */
-    private static final long UNSURE = 50_000_000L;
+    /** How much later than at its earliest a request may have arrived; a third of the excess allowed in the time told to servers. */
+    private static final long ARRIVAL_UNCERTAINTY = 50_000_000L;
 
     public final String id;
     final Terms terms;
-    /** Whether running twice does no harm. */
+    /** Whether running it twice does no harm. */
     public final boolean repeatable;
     public final Metadata head;
     public final Body body;
-    /** The rest of a body that is passed on as it comes; null where {@link #body} is all of it. */
+    /** The rest of a streamed body; null if {@link #body} is complete. */
     public final Upload upload;
     final Caller caller;
     final List<Attempt> attempts = new ArrayList<>(2);
-    final int mostAttempts;
-    /** When its last byte came, at the earliest. */
-    long came;
+    final int maxAttempts;
+    /** The earliest time at which its last byte can have arrived. */
+    long arrivedAt;
     long deadline;
-    int out;
-    /** The final answer is given or has begun, or nobody waits for it. */
-    boolean over;
-    TimerQueue.Item guard;
-    /** A server's own word for a failure, for the caller should no other server do better; null for none. */
+    int pendingAttempts;
+    /** The final answer has been given or has begun, or nobody waits for it. */
+    boolean finished;
+    TimerQueue.Entry overdueTimer;
+    /** A server's own answer on a failure, for the caller if no other server succeeds; null for none. */
     Answer failure;
-    /** The attempt whose answer is being passed on; null for none. */
-    Attempt passing;
+    /** The attempt whose answer is being streamed; null for none. */
+    Attempt streaming;
     AnswerSink.Source source;
 
-    /** How long its caller waits, in nanoseconds. */
+    /** How long the caller waits, in nanoseconds. */
     public long callerTimeout() {
         return terms.callerTimeout();
     }
 
     /**
-     * How much of its time a server may be told is left to its caller, in nanoseconds, 0 at the least: counted from when the last byte
-     * came at the earliest, but for {@link #UNSURE}. The node itself may wait for longer, see {@link Dispatcher#arrived}; a server that
-     * is told so works on for nobody. Of a body that is passed on as it comes it is the whole time, which begins with its end.
+     * The caller's remaining time as told to a server, in nanoseconds, at least 0. It counts from the earliest possible arrival of the
+     * last byte plus {@link #ARRIVAL_UNCERTAINTY}. The node itself may wait longer, see {@link Dispatcher#arrived}, but a server
+     * that was told so would work on for a caller that has left. For a streamed body it is the full time, which starts at its end.
      */
     public long timeLeft(long now) {
-        return upload != null ? terms.callerTimeout() : Math.max(0, Math.min(terms.callerTimeout(), came + UNSURE + terms.callerTimeout() - now));
+        return upload != null ? terms.callerTimeout()
+            : Math.max(0, Math.min(terms.callerTimeout(), arrivedAt + ARRIVAL_UNCERTAINTY + terms.callerTimeout() - now));
     }
 
-    /** When its caller's time is up, by the node's clock. */
+    /** When the caller's time is up, by the node's clock. */
     public long deadline() {
         return deadline;
     }
 
-    /** Whether its answer may be passed on as it comes. */
+    /** Whether its answer may be streamed. */
     public boolean acceptsStreaming() {
         return caller.acceptsStreaming();
     }
 
-    /** Whether the servers may have forgotten its key, under which an attempt before this one may have run. */
-    boolean keyForgotten(Attempt next, long now) {
-        RequestClass about = terms.requestClass();
-        if (about.effect() != Effect.KEYED) {
+    /** Whether the servers may have forgotten the key of this request, of which an earlier attempt may have run. */
+    boolean keyExpired(Attempt next, long now) {
+        RequestClass requestClass = terms.requestClass();
+        if (requestClass.effect() != Effect.KEYED) {
             return false;
         }
-        for (Attempt before : attempts) {
-            if (before != next && !before.neverRan) {
-                return now >= before.sentAt + about.keyRetention();
+        for (Attempt earlier : attempts) {
+            if (earlier != next && !earlier.neverRan) {
+                return now >= earlier.sentAt + requestClass.keyRetention();
             }
         }
         return false;
@@ -81,19 +82,19 @@
         this(terms, head, body, caller, Integer.MAX_VALUE);
     }
 
-    /** {@code mostAttempts}: how often it may be sent, whatever the class and the limits allow. */
-    public Exchange(Terms terms, Metadata head, Body body, Caller caller, int mostAttempts) {
-        this(terms, head, body, caller, mostAttempts, null);
+    /** {@code maxAttempts}: bound on its attempts, besides those of its class and of the limits. */
+    public Exchange(Terms terms, Metadata head, Body body, Caller caller, int maxAttempts) {
+        this(terms, head, body, caller, maxAttempts, null);
     }
 
-    /** One whose body is passed on as it comes, but for its first part. */
+    /** A request of whose body the first part is held and the rest is streamed. */
     public Exchange(Terms terms, Metadata head, Body body, Caller caller, Upload upload) {
         this(terms, head, body, caller, Integer.MAX_VALUE, upload);
     }
 
-    private Exchange(Terms terms, Metadata head, Body body, Caller caller, int mostAttempts, Upload upload) {
+    private Exchange(Terms terms, Metadata head, Body body, Caller caller, int maxAttempts, Upload upload) {
         this.upload = upload;
-        this.mostAttempts = mostAttempts;
+        this.maxAttempts = maxAttempts;
         this.id = terms.id();
         this.terms = terms;
         this.repeatable = terms.requestClass().effect() == Effect.SAFE;
--- a/src/main/java/onyxpaddle/node/InFlightLimit.java
+++ b/src/main/java/onyxpaddle/node/InFlightLimit.java
@@ -1,39 +1,39 @@
 package onyxpaddle.node;
 
 /**
- * Decides whether a pool that holds so many requests takes one more. Guards an application from more work at once than
- * it says it bears: what goes beyond that is refused at once, with when to come back, rather than queued. The last
- * tenth is kept for the classes worth most. It does harm where the limit is set lower than what the application bears.
+ * Bounds the concurrent requests of a pool to what its application is configured to bear. Requests beyond the limit are
+ * refused at once, with a time to retry, rather than queued. The last tenth is kept for the classes with the highest worth.
+ * A limit below what the application bears refuses requests without need.
  */
 public final class InFlightLimit {
-    /** Part of the limit open to all classes. */
-    private static final double OPEN_TO_ALL = 0.9;
-    /** Weight of one more answer in the usual time to one. */
-    private static final double STEP = 0.1;
+    /** The part of the limit that is open to all classes. */
+    private static final double SHARED_PART = 0.9;
+    /** Weight of a new sample in the moving average of the latency. */
+    private static final double SMOOTHING = 0.1;
 
-    private final int most;
-    private final int openToAll;
+    private final int limit;
+    private final int sharedLimit;
     private final double highestWorth;
-    private double usual;
+    private double meanLatency;
 
-    /** {@code most}: requests at once; {@code highestWorth}: of the classes that go to the pool. */
-    public InFlightLimit(int most, double highestWorth) {
-        this.most = most;
-        this.openToAll = Math.max(1, (int) (OPEN_TO_ALL * most));
+    /** {@code limit}: concurrent requests; {@code highestWorth}: among the classes routed to the pool. */
+    public InFlightLimit(int limit, double highestWorth) {
+        this.limit = limit;
+        this.sharedLimit = Math.max(1, (int) (SHARED_PART * limit));
         this.highestWorth = highestWorth;
     }
 
     public boolean admits(int inFlight, double worth) {
-        return inFlight < (worth >= highestWorth ? most : openToAll);
+        return inFlight < (worth >= highestWorth ? limit : sharedLimit);
     }
 
-    /** An answer came after so many nanoseconds. */
-    public void answered(long took) {
-        usual += usual == 0 ? took : STEP * (took - usual);
+    /** Records the latency of an answer, in nanoseconds. */
+    public void answered(long latency) {
+        meanLatency += meanLatency == 0 ? latency : SMOOTHING * (latency - meanLatency);
     }
 
-    /** When one that is refused may come back, in nanoseconds: by then some that are in flight have their answers. */
+    /** When a refused request may be retried, in nanoseconds from now: by then some requests in flight have their answers. */
     public long retryAfter() {
-        return Math.max(10_000_000L, (long) usual);
+        return Math.max(10_000_000L, (long) meanLatency);
     }
 }
--- a/src/main/java/onyxpaddle/node/Log.java
+++ b/src/main/java/onyxpaddle/node/Log.java
@@ -3,17 +3,17 @@
 import java.util.concurrent.ArrayBlockingQueue;
 
 /**
- * Lines on standard error. A daemon thread writes them, so that a pipe nobody reads never blocks the event loop;
- * the queue is bounded and so is each second's number of lines, with a count of those left out.
+ * Logs lines to standard error. A daemon thread writes them, so that a pipe that nobody reads never blocks the event
+ * loop. The queue and the number of lines per second are bounded; the number of dropped lines is logged.
  */
 public final class Log {
-    private static final int LINES_PER_SECOND = 30;
-    private static final int LONGEST = 400;
-    private static final ArrayBlockingQueue<String> LINES = new ArrayBlockingQueue<>(256);
+    private static final int MAX_LINES_PER_SECOND = 30;
+    private static final int MAX_LENGTH = 400;
+    private static final ArrayBlockingQueue<String> QUEUE = new ArrayBlockingQueue<>(256);
 
-    private static long second;
-    private static int lines;
-    private static int leftOut;
+    private static long currentSecond;
+    private static int linesThisSecond;
+    private static int dropped;
 
     static {
         Thread writer = new Thread(Log::write, "log");
@@ -26,29 +26,29 @@
 
     public static synchronized void line(String text) {
         long now = System.nanoTime() / 1_000_000_000L;
-        if (now != second) {
-            second = now;
-            lines = 0;
-            if (leftOut > 0) {
-                LINES.offer(leftOut + " lines left out");
-                leftOut = 0;
+        if (now != currentSecond) {
+            currentSecond = now;
+            linesThisSecond = 0;
+            if (dropped > 0) {
+                QUEUE.offer(dropped + " log lines dropped");
+                dropped = 0;
             }
         }
-        String clean = text.length() > LONGEST ? text.substring(0, LONGEST) : text;
-        if (++lines > LINES_PER_SECOND || !LINES.offer(clean.replaceAll("\\p{Cntrl}", "?"))) {
-            leftOut++;
+        String truncated = text.length() > MAX_LENGTH ? text.substring(0, MAX_LENGTH) : text;
+        if (++linesThisSecond > MAX_LINES_PER_SECOND || !QUEUE.offer(truncated.replaceAll("\\p{Cntrl}", "?"))) {
+            dropped++;
         }
     }
 
-    public static void failure(String doing, Throwable cause) {
+    public static void failure(String message, Throwable cause) {
         StackTraceElement[] trace = cause.getStackTrace();
-        line(doing + ": " + cause + (trace.length > 0 ? " at " + trace[0] : ""));
+        line(message + ": " + cause + (trace.length > 0 ? " at " + trace[0] : ""));
     }
 
     private static void write() {
         try {
             while (true) {
-                System.err.println(LINES.take());
+                System.err.println(QUEUE.take());
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
--- a/src/main/java/onyxpaddle/node/Metadata.java
+++ b/src/main/java/onyxpaddle/node/Metadata.java
@@ -1,8 +1,8 @@
 package onyxpaddle.node;
 
-/** What a front and an upstream of one protocol tell each other beside a body, such as a head; the core never looks. */
+/** What a front and an upstream of one protocol exchange besides a body, such as a head; opaque to the core. */
 public interface Metadata {
-    /** By what name a request goes to a server of another protocol; null where it goes to none. */
+    /** The name by which the request is sent to a server of another protocol; null if it can't be. */
     default String mapped() {
         return null;
     }
--- a/src/main/java/onyxpaddle/node/RequestCounts.java
+++ b/src/main/java/onyxpaddle/node/RequestCounts.java
@@ -5,16 +5,15 @@
 import java.util.Map;
 
 /**
- * How a pool's requests ended, by class, and how many attempts went out whole. Each is counted once, by whoever knows that
- * it is so; nothing else keeps such a count. Bounded by the classes that it starts with: a name that is not among them is
- * not counted. Used by the event loop alone.
+ * Counts request results by class, and attempts that were written completely. Each is counted once, and nowhere else but
+ * here. Bounded by the registered classes: results of other classes are not counted. Used on the event loop only.
  */
 public final class RequestCounts {
-    /** How a request ended for its caller: served, refused, failed. */
+    /** How a request ended for its caller: served, refused or failed. */
     public enum RequestResult { SUCCESS, BUSY, FAILURE }
 
-    /** A node whose classes a reload changes again and again must not grow for it. */
-    private static final int MOST_CLASSES = 4_000;
+    /** Bounds the growth over reloads that keep changing the classes. */
+    private static final int MAX_CLASSES = 4_000;
 
     private final Map<String, long[]> classes = new LinkedHashMap<>();
     private long attempts;
@@ -23,19 +22,19 @@
         know(classNames);
     }
 
-    /** Counts these classes too from now on; those known before go on. Beyond {@value #MOST_CLASSES} none is added. */
+    /** Registers further classes and keeps the earlier ones. Beyond {@value #MAX_CLASSES} classes none is added. */
     public void know(Collection<String> classNames) {
         for (String name : classNames) {
-            if (classes.size() < MOST_CLASSES) {
+            if (classes.size() < MAX_CLASSES) {
                 classes.computeIfAbsent(name, n -> new long[RequestResult.values().length]);
             }
         }
     }
 
-    public void ended(String requestClass, RequestResult how) {
+    public void ended(String requestClass, RequestResult result) {
         long[] counts = classes.get(requestClass);
         if (counts != null) {
-            counts[how.ordinal()]++;
+            counts[result.ordinal()]++;
         }
     }
 
@@ -47,11 +46,11 @@
         return classes.keySet();
     }
 
-    public long count(String requestClass, RequestResult how) {
-        return classes.get(requestClass)[how.ordinal()];
+    public long count(String requestClass, RequestResult result) {
+        return classes.get(requestClass)[result.ordinal()];
     }
 
-    /** Attempts whose request's last byte the system took for a server. */
+    /** The number of attempts of which the operating system has the request's last byte. */
     public long attempts() {
         return attempts;
     }
--- a/src/main/java/onyxpaddle/node/ResourceBudget.java
+++ b/src/main/java/onyxpaddle/node/ResourceBudget.java
@@ -1,14 +1,15 @@
 package onyxpaddle.node;
 
 /**
- * What the node may hold, from the limits in its configuration: bytes of bodies on the heap, and descriptors for
- * clients and for servers. Pools share the first and the last, fronts the second. Used by the event loop alone.
+ * The resources that a node may hold, from the limits in its configuration: heap bytes of bodies, and file descriptors
+ * for client and for server connections. Pools share the bytes and the server connections, fronts share the client
+ * connections. Used on the event loop only.
  */
 public final class ResourceBudget {
-    /** For the JVM's own files, the selector, the listener, discovery, and accepts that are under way. */
+    /** Kept for the JVM's own files, the selector, the listener, discovery, and accepts in progress. */
     private static final int RESERVED_DESCRIPTORS = 64;
-    /** The part of the client connections that may have work taken in; those beyond are refused as they ask. */
-    private static final double SERVED_CLIENTS = 0.8;
+    /** The part of the client connections up to which requests are admitted; beyond it new requests are refused. */
+    private static final double ADMITTING_PART = 0.8;
 
     private final SharedLimit bytes;
     private final SharedLimit clients;
@@ -22,7 +23,7 @@
         clients = new SharedLimit(usable - forServers);
     }
 
-    /** A pool's parts of the node's bytes of bodies and of its connections to servers. */
+    /** A pool's shares of the node's body bytes and of its server connections. */
     public record PoolShare(SharedLimit.Share bytes, SharedLimit.Share servers) {
         public void leave() {
             bytes.leave();
@@ -34,14 +35,14 @@
         return new PoolShare(bytes.join(), servers.join());
     }
 
-    /** A front's part of the node's client connections. */
+    /** Creates a front's share of the node's client connections. */
     public SharedLimit.Share front() {
         return clients.join();
     }
 
-    /** Whether a front with this share has so many clients that a further request is turned away. */
+    /** Whether a front with this share has so many clients that further requests are refused. */
     public boolean nearConnectionLimit(SharedLimit.Share front) {
-        long most = front.most();
-        return front.held() > most * SERVED_CLIENTS;
+        long maximum = front.maximum();
+        return front.held() > maximum * ADMITTING_PART;
     }
 }
--- a/src/main/java/onyxpaddle/node/SharedLimit.java
+++ b/src/main/java/onyxpaddle/node/SharedLimit.java
@@ -4,17 +4,17 @@
 import java.util.List;
 
 /**
- * One limit that several hold together, such as bytes or descriptors, of which none can use up what the others need.
- * Half of it is shared out evenly as guaranteed parts, the other half goes to whoever asks first. The invariant: but
- * for what {@link Share#forceTake} adds, all hold no more than the total, and a member that holds less than its guarantee may always take up to it. Used by one
- * thread alone.
+ * A limit, such as on bytes or descriptors, that several members share without being able to exhaust each other's part.
+ * Half of it is divided evenly into guaranteed parts, the other half is taken first come, first served. Invariants: apart
+ * from {@link Share#forceTake}, all members together hold no more than the total, and a member below its guarantee may
+ * always take up to it. Not thread-safe.
  *
- * <p>Guards against a pool whose servers are silent, whose bodies and connections then pile up; it should cover any
- * use that grows without end. It does harm where one of many pools carries nearly all the traffic and is kept from
- * what the others leave unused: that is half of the total at the most.
+ * <p>This protects pools from one whose servers are silent, whose bodies and connections pile up, and from any other use
+ * that grows without bound. The drawback: if one of many pools carries nearly all the traffic it can't use what the others
+ * leave unused, which is at most half of the total.
  */
 public final class SharedLimit {
-    private static final double GUARANTEED = 0.5;
+    private static final double GUARANTEED_PART = 0.5;
 
     private final long total;
     private final List<Share> shares = new ArrayList<>();
@@ -24,8 +24,8 @@
     }
 
     /**
-     * A further member. Guarantees shrink as members come: one that held more than its new guarantee keeps it, and a
-     * member may meet its guarantee late by what others held over theirs at that time.
+     * Adds a member. Guarantees shrink with each new member: one that holds more than its new guarantee keeps it, so a
+     * member may get its guarantee only after others have given back what they hold beyond theirs.
      */
     public Share join() {
         Share share = new Share();
@@ -33,7 +33,7 @@
         return share;
     }
 
-    /** What all members hold together. */
+    /** The total that all members hold. */
     public long held() {
         long sum = 0;
         for (Share share : shares) {
@@ -43,13 +43,13 @@
     }
 
     private long guarantee() {
-        return shares.size() < 2 ? total : (long) (total * GUARANTEED / shares.size());
+        return shares.size() < 2 ? total : (long) (total * GUARANTEED_PART / shares.size());
     }
 
-    /** One member's part of the limit. */
+    /** A member's share of the limit. */
     public final class Share {
         private long held;
-        private boolean left;
+        private boolean leaving;
 
         private Share() {
         }
@@ -58,8 +58,8 @@
             return held;
         }
 
-        /** The most that this member could hold now if it gave up nothing: its guarantee, and what of the rest is free. */
-        public long most() {
+        /** The most that this member could hold now, including what it holds: its guarantee and the free part of the rest. */
+        public long maximum() {
             long guarantee = guarantee();
             long common = total - guarantee * shares.size();
             long sum = 0;
@@ -69,43 +69,43 @@
                     common -= Math.max(0, share.held - guarantee);
                 }
             }
-            // Held over a guarantee that has shrunk since, others may have taken more than the common part has.
+            // After guarantees have shrunk, others may hold more beyond theirs than the common part has.
             return Math.min(guarantee + Math.max(0, common), held + total - sum);
         }
 
-        /** How much more it may take now; below 0 after guarantees have shrunk. */
+        /** How much more it may take now; may be negative after guarantees have shrunk. */
         public long room() {
-            return most() - held;
+            return maximum() - held;
         }
 
         public boolean take(long count) {
             return take(count, 1);
         }
 
-        /** Takes so much as long as it holds no more than this part of its most after it; false, and nothing, beyond. */
+        /** Takes {@code count} if it then holds no more than this part of its maximum; otherwise takes nothing and returns false. */
         public boolean take(long count, double part) {
-            if (held + count > (long) (part * most())) {
+            if (held + count > (long) (part * maximum())) {
                 return false;
             }
             held += count;
             return true;
         }
 
-        /** Takes what cannot be helped, such as a connection that the system has accepted already. */
+        /** Takes {@code count} regardless of the limit, such as for a connection that the system has accepted already. */
         public void forceTake(long count) {
             held += count;
         }
 
         public void giveBack(long count) {
             held -= count;
-            if (left && held == 0) {
+            if (leaving && held == 0) {
                 shares.remove(this);
             }
         }
 
-        /** The member goes; its guarantee is the others' once it has given back all that it held. */
+        /** Removes the member; its guarantee goes to the others once it has given back all that it holds. */
         public void leave() {
-            left = true;
+            leaving = true;
             giveBack(0);
         }
     }
--- a/src/main/java/onyxpaddle/node/SiteGate.java
+++ b/src/main/java/onyxpaddle/node/SiteGate.java
@@ -7,37 +7,37 @@
 import onyxpaddle.BalancerApi.ServerEntry;
 
 /**
- * Turns requests away before they take anything: no attempt, no connection, no place below. Hears what becomes of attempts and of the
- * list, and has no part in which server is chosen. Times are the node's clock in nanoseconds.
+ * Refuses requests by the state of the sites before they use any resource: no attempt, connection or slot in a limit. It is told of
+ * ended attempts and of changes to the list, and takes no part in the choice of a server. Times are the node's clock in nanoseconds.
  */
 public interface SiteGate {
-    /** What {@link #refuses} answers for a request that is let in. */
+    /** Result of {@link #refuses} for a request that is admitted. */
     long ADMITTED = -1;
 
-    /** A request of this class has come: {@link #ADMITTED}, or the span in nanoseconds after which its client may come back. */
+    /** Decides on a new request of this class: {@link #ADMITTED}, or the nanoseconds after which its client may retry. */
     long refuses(long now, String requestClass);
 
-    /** An attempt ended, so many nanoseconds after it was sent. */
+    /** An attempt ended; {@code latency}: nanoseconds since it was sent. */
     void ended(long now, String server, Outcome outcome, long latency);
 
-    /** News of the list, as the module gets it. */
+    /** The list of servers changed; the arguments are those that the balancer gets. */
     void listed(long now, ListKind kind, List<ServerEntry> entries);
 
-    /** How each site stands, for on-call staff. */
+    /** The status of each site, for operators. */
     List<Site> siteStatuses(long now);
 
-    /** Operators hold a site, or release it; false where it is not known, or no other would be left. */
+    /** Puts a site on hold for operators, or releases it; false if it is unknown, or no other site would be left. */
     boolean operators(long now, String site, boolean hold);
 
-    /** The part of its chances that each site's servers keep. */
+    /** By site, the factor on the probability with which its servers are drawn. */
     Map<String, Double> shares();
 
     /**
-     * A site as the node sees it.
+     * The status of a site as this node sees it.
      *
      * @param phase in lower case, such as {@code lost}
      * @param held whether operators hold it
-     * @param penalty for its losses, which fades
+     * @param penalty for its losses, which decays over time
      */
     record Site(String name, String phase, boolean held, double penalty) {
     }
--- a/src/main/java/onyxpaddle/node/TimerQueue.java
+++ b/src/main/java/onyxpaddle/node/TimerQueue.java
@@ -4,29 +4,29 @@
 import java.util.TreeSet;
 
 /**
- * What a dispatcher has to do at which time. It does no I/O and has no timer of its own: whoever holds it takes what is due, between
- * any two things that happen and at the latest when {@link #next} has come. Guards against a loop that comes to its timers
- * only after all that it has read, which on a node short of processor time is a second of work. Bounded by what is out: what
- * is cancelled is gone.
+ * Pending timers of a dispatcher, ordered by due time. It does no I/O and schedules nothing itself: its owner runs what is due
+ * between any two events, and at the latest at {@link #nextAt}. An event loop by itself runs its timers only after it has
+ * processed everything it has read, which on a node short of processor time is a second of work. The size is bounded by the
+ * requests and attempts in progress: cancelled entries are removed at once.
  */
 final class TimerQueue {
-    private final TreeSet<Item> items = new TreeSet<>(Comparator.comparingLong((Item i) -> i.at).thenComparingLong(i -> i.number));
-    private long count;
+    private final TreeSet<Entry> entries = new TreeSet<>(Comparator.comparingLong((Entry i) -> i.at).thenComparingLong(i -> i.sequence));
+    private long nextSequence;
 
-    /** Something to be done at a time. */
-    final class Item {
+    /** A task to be run at a given time. */
+    final class Entry {
         private final long at;
-        private final long number;
+        private final long sequence;
         private final Runnable task;
 
-        private Item(long at, long number, Runnable task) {
+        private Entry(long at, long sequence, Runnable task) {
             this.at = at;
-            this.number = number;
+            this.sequence = sequence;
             this.task = task;
         }
 
         void cancel() {
-            items.remove(this);
+            entries.remove(this);
         }
 
         void run() {
@@ -34,20 +34,20 @@
         }
     }
 
-    /** At that time, after all that was put down for the same before. */
-    Item add(long at, Runnable task) {
-        Item item = new Item(at, count++, task);
-        items.add(item);
-        return item;
+    /** Schedules a task; tasks with the same time run in the order in which they were added. */
+    Entry add(long at, Runnable task) {
+        Entry entry = new Entry(at, nextSequence++, task);
+        entries.add(entry);
+        return entry;
     }
 
-    /** The first that is due by now, which is taken off; null for none. */
-    Item due(long now) {
-        return next() <= now ? items.pollFirst() : null;
+    /** Removes and returns the first entry that is due; null for none. */
+    Entry pollDue(long now) {
+        return nextAt() <= now ? entries.pollFirst() : null;
     }
 
-    /** When the first is due; {@link Long#MAX_VALUE} for never. */
-    long next() {
-        return items.isEmpty() ? Long.MAX_VALUE : items.first().at;
+    /** When the first entry is due; {@link Long#MAX_VALUE} if there is none. */
+    long nextAt() {
+        return entries.isEmpty() ? Long.MAX_VALUE : entries.first().at;
     }
 }
--- a/src/main/java/onyxpaddle/node/Upload.java
+++ b/src/main/java/onyxpaddle/node/Upload.java
@@ -3,24 +3,24 @@
 import io.netty.buffer.ByteBuf;
 
 /**
- * The part of a request's body that is passed on as it comes, behind the part that is held. Until any of it has gone to a
- * server the request can be sent again with what is held; from then on it can't. The caller's side offers what comes, one
- * attempt at a time takes it, and reading stops while it can take no more. Used by the event loop alone.
+ * The streamed part of a request's body, which follows the part that is held. The request can be sent again with the held
+ * part until any of the streamed part has gone to a server. The caller's side offers bytes as they arrive, one attempt at
+ * a time takes them, and reading pauses while it can't take more. Used on the event loop only.
  */
 public final class Upload {
-    /** The attempt that takes the rest. */
+    /** The attempt that takes the streamed part. */
     public interface Sink {
-        /** The next bytes, which are the sink's from here on; {@code last}: the body is whole with them. */
+        /** Takes the next bytes and their ownership; {@code last}: they complete the body. */
         void take(ByteBuf more, boolean last);
 
-        /** What was handed over so far should leave now: no more has come. */
+        /** Writes out what was handed over so far: no more data is available at present. */
         void flush();
 
-        /** The rest never comes. */
+        /** The rest of the body will not come. */
         void aborted();
     }
 
-    /** The caller's side, which can be told to read on or not. */
+    /** The caller's side, whose reading can be paused and resumed. */
     public interface Reader {
         void read(boolean on);
     }
@@ -28,10 +28,10 @@
     private final long length;
     private final Reader reader;
     private Sink sink;
-    private boolean begun;
-    private boolean whole;
+    private boolean started;
+    private boolean complete;
 
-    /** {@code length}: of the whole body as the caller states it, in bytes; -1 where it comes in chunks. */
+    /** {@code length}: of the complete body as announced by the caller, in bytes; -1 if it comes in chunks. */
     public Upload(long length, Reader reader) {
         this.length = length;
         this.reader = reader;
@@ -41,27 +41,27 @@
         return length;
     }
 
-    /** Whether bytes have gone to a server that are held no more. */
-    public boolean begun() {
-        return begun;
+    /** Whether bytes that are not held have gone to a server. */
+    public boolean started() {
+        return started;
     }
 
-    /** The body's last byte has come. */
-    public boolean whole() {
-        return whole;
+    /** Whether the body's last byte has arrived. */
+    public boolean complete() {
+        return complete;
     }
 
-    /** An attempt takes what comes from now on; what was held until then it has sent. */
+    /** Sets the attempt that takes what arrives from now on; it has sent what is held. */
     public void attach(Sink to) {
-        if (!whole) {
+        if (!complete) {
             sink = to;
             reader.read(true);
         }
     }
 
-    /** The last byte has come while no attempt took any: all of it is held. */
+    /** The last byte has arrived while no attempt was attached: the complete body is held. */
     public void completeHeld() {
-        whole = true;
+        complete = true;
     }
 
     public void flush() {
@@ -70,36 +70,36 @@
         }
     }
 
-    /** The attempt takes no more. */
+    /** Detaches an attempt that takes no more. */
     public void detach(Sink from) {
         if (sink == from) {
             sink = null;
-            if (!whole) {
+            if (!complete) {
                 reader.read(false);
             }
         }
     }
 
-    /** The attempt that takes it has room again, or has none. */
+    /** Resumes or pauses reading, as the attached attempt has room again or has none. */
     public void setWritable(Sink by, boolean on) {
-        if (sink == by && !whole) {
+        if (sink == by && !complete) {
             reader.read(on);
         }
     }
 
-    /** Whether what comes next goes to an attempt; else it is held. */
+    /** Whether an attempt is attached and takes what arrives next; otherwise it is held. */
     public boolean attached() {
         return sink != null;
     }
 
-    /** The next bytes of a body that {@link #attached}. */
+    /** Passes the next bytes to the attempt that is {@link #attached}. */
     public void offer(ByteBuf more, boolean last) {
-        begun = true;
-        whole = last;
+        started = true;
+        complete = last;
         sink.take(more, last);
     }
 
-    /** The caller has left, or what it sends is at fault. */
+    /** The caller has left, or has sent a malformed body. */
     public void abort() {
         Sink from = sink;
         sink = null;
--- a/src/main/java/onyxpaddle/node/Upstream.java
+++ b/src/main/java/onyxpaddle/node/Upstream.java
@@ -1,10 +1,10 @@
 package onyxpaddle.node;
 
-/** One protocol towards servers. It reports the end of each attempt once, by {@link Dispatcher#ended}. */
+/** The server side of a protocol. It reports the end of each attempt once, through {@link Dispatcher#ended}. */
 public interface Upstream {
-    /** Starts an attempt. It sets {@link Attempt#written} once the server may have the whole of the request. */
+    /** Starts an attempt. It sets {@link Attempt#written} once the server may have the complete request. */
     void send(Attempt attempt);
 
-    /** Stops an attempt that has not ended; the caller says how it ended, and nothing is reported for it after. */
+    /** Stops an attempt that has not ended. The calling code reports the outcome; the upstream reports nothing more for it. */
     void giveUp(Attempt attempt);
 }
--- a/src/main/java/onyxpaddle/rpc/RpcFront.java
+++ b/src/main/java/onyxpaddle/rpc/RpcFront.java
@@ -22,7 +22,7 @@
     RpcCalls calls;
     private long retiredAt;
 
-    public RpcFront(Surroundings around, RpcCounts counts) {
+    public RpcFront(SharedResources around, RpcCounts counts) {
         super(around, SWEEP_MS, new WriteBufferWaterMark(32 * 1024, 64 * 1024));
         this.counts = counts;
     }
--- a/src/main/java/onyxpaddle/serve/Node.java
+++ b/src/main/java/onyxpaddle/serve/Node.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.CompletableFuture;
 import onyxpaddle.BalancerApi.ListKind;
 import onyxpaddle.RatioBalancer;
-import onyxpaddle.front.ListeningFront.Surroundings;
+import onyxpaddle.front.ListeningFront.SharedResources;
 import onyxpaddle.http.HttpFront;
 import onyxpaddle.http.HttpUpstream;
 import onyxpaddle.http.PlatformUpstreamDialect;
@@ -113,11 +113,11 @@
             Math.min(LONGEST_IDLE, (long) (IDLE_SHARE * config.keepalive())), config.settings().limits().connectTimeout(), MOST_IDLE);
         if (sites != null && !sites.isEmpty()) {
             // Off on the platform, where none of it is loaded.
-            dispatcher.guard(SiteGates.of(sites, config.settings(), config.seed()));
+            dispatcher.setSiteGate(SiteGates.of(sites, config.settings(), config.seed()));
         }
         discovery = discovery();
         dispatcher.connect(servers, () -> discovery.subscribe());
-        clients = new HttpFront(new Surroundings(loop, life.allocator, clock, budget, life.state),
+        clients = new HttpFront(new SharedResources(loop, life.allocator, clock, budget, life.state),
             new PlatformRequestDialect(config.settings().classes(), dispatcher, share.bytes()), this::ready);
         apply(config.known(), ListKind.CACHED);
         discovery.start();
--- a/src/main/java/onyxpaddle/serve/RunningPool.java
+++ b/src/main/java/onyxpaddle/serve/RunningPool.java
@@ -49,7 +49,7 @@
     private static final long LOOK_MS = 250;
 
     /** What a pool shares with the rest of the node; {@code files}: the thread that reads list files. */
-    record Surroundings(EventLoop loop, ByteBufAllocator allocator, Clock clock, ResourceBudget budget,
+    record SharedResources(EventLoop loop, ByteBufAllocator allocator, Clock clock, ResourceBudget budget,
             ScheduledExecutorService files, RequestCounts tally, String node) {
     }
 
@@ -59,13 +59,13 @@
     private final PoolShare share;
     private final MixedProtocolUpstream upstream;
     private final boolean called;
-    private final Surroundings around;
+    private final SharedResources around;
     private Discovery discovery;
     private Future<?> watch;
     private boolean stopped;
     private boolean anyServer;
 
-    RunningPool(Pool pool, NodeConfig node, long seed, Surroundings around) {
+    RunningPool(Pool pool, NodeConfig node, long seed, SharedResources around) {
         this.config = pool;
         this.classes = node.classesOf(pool.name());
         this.around = around;
--- a/src/main/java/onyxpaddle/serve/Sidecar.java
+++ b/src/main/java/onyxpaddle/serve/Sidecar.java
@@ -28,7 +28,7 @@
 import onyxpaddle.config.NodeConfigReader;
 import onyxpaddle.bridge.HttpOverRpc;
 import onyxpaddle.drain.NodeState;
-import onyxpaddle.front.ListeningFront.Surroundings;
+import onyxpaddle.front.ListeningFront.SharedResources;
 import onyxpaddle.http.HttpFront;
 import onyxpaddle.http.PlainRequestDialect;
 import onyxpaddle.http.PlainRequestDialect.Target;
@@ -224,7 +224,7 @@
         List<io.netty.util.concurrent.Future<?>> binding = new ArrayList<>();
         for (Listener listener : current.config().listeners().values()) {
             if (standing(listener) == null) {
-                Surroundings around = new Surroundings(loop, allocator, clock, budget, listener.outbound() ? outbound : inbound);
+                SharedResources around = new SharedResources(loop, allocator, clock, budget, listener.outbound() ? outbound : inbound);
                 Front front = listener.rpc() ? new RpcFront(around, new RpcCounts("listener " + listener.name()))
                     : new HttpFront(around, null, this::ready);
                 binding.add(front.listen(Addresses.of(listener.address().host(), listener.address().port()), life.shares()));
@@ -329,7 +329,7 @@
                 pools.put(name, old);
             } else {
                 RunningPool unit = new RunningPool(pool, to, seeds.nextLong(),
-                    new RunningPool.Surroundings(loop, allocator, clock, budget, files, tally, to.name()));
+                    new RunningPool.SharedResources(loop, allocator, clock, budget, files, tally, to.name()));
                 unit.start();
                 pools.put(name, unit);
             }
--- a/src/main/java/onyxpaddle/socket/PollableChannel.java
+++ b/src/main/java/onyxpaddle/socket/PollableChannel.java
@@ -8,41 +8,41 @@
 import onyxpaddle.node.SocketBuffers;
 
 /**
- * A connection that can be asked at any moment, before the loop comes to its socket, whether its peer has sent something or has
- * ended it. What is read that way goes through the pipeline as if it had been read in its turn, and in order.
+ * A connection that can be polled at any time, before the event loop gets to its socket, for data or for a close by its peer. Data
+ * read by a poll passes through the pipeline in order, as if the event loop had read it.
  *
- * <p>Guards against all that happens between two events that cross: a caller that left while a loop that is behind begins an
- * attempt for it, a close of an idle connection on which a request has come, a request that is written to a connection which its
- * server has closed. It costs a read each time. A peer that ends only its sending counts as one that has closed, here and where
- * Netty reads: the protocols say that a caller which closes has gone, and know no other use of an end (half-close). Used on the
- * event loop alone.
+ * <p>This narrows races between the event loop and the peer: an attempt begun, by a loop that is behind, for a caller that has
+ * left; a close of an idle connection on which a request has arrived; a request written to a connection that its server has
+ * closed. Each poll costs a read. A peer that shuts down only its sending side (half-close) counts as one that has closed, here
+ * and in Netty's own reads: the protocols define a caller that closes as gone, and no other use of a half-close. Used on the
+ * event loop only.
  */
 public final class PollableChannel extends NioSocketChannel {
-    /** The most that is held of what came ahead of its turn, in bytes: of a peer that has sent more, an end is not seen by this. */
-    private static final int MOST_EARLY = 4 * SocketBuffers.READ_SIZE;
+    /** Bound on the prefetched bytes; a poll does not see the close of a peer that has sent more than this. */
+    private static final int MAX_PREFETCH = 4 * SocketBuffers.READ_SIZE;
 
-    /** What a poll has found. */
+    /** The result of a poll. */
     public enum PollResult {
         NOTHING,
-        /** Something that the pipeline has not had yet. */
+        /** There is data that the pipeline has not received yet. */
         BYTES,
-        /** The peer has closed or reset the connection, or this side has. */
+        /** The connection was closed or reset by the peer, or closed by this side. */
         END
     }
 
-    /** Read ahead of its turn and not handed on yet; null for none. */
-    private ByteBuf early;
+    /** Data read by polls that the pipeline has not received yet; null for none. */
+    private ByteBuf prefetched;
 
-    /** One to be dialled. */
+    /** Creates a channel to be connected. */
     public PollableChannel() {
     }
 
-    /** One that a listener has accepted. */
+    /** Wraps a connection accepted by a listener. */
     public PollableChannel(Channel listener, SocketChannel accepted) {
         super(listener, accepted);
     }
 
-    /** Looks at the socket now. At an end the channel is closed, and its pipeline hears so in its turn. */
+    /** Polls the socket. At the end of the connection the channel is closed, which the pipeline is told as usual. */
     public PollResult poll() {
         if (!isActive()) {
             return PollResult.END;
@@ -51,31 +51,31 @@
         try {
             ended = readAhead();
         } catch (IOException e) {
-            // A reset ends it as a close does.
+            // A reset ends the connection like a close.
             ended = true;
         }
         if (ended) {
-            drop();
+            releasePrefetched();
             close();
             return PollResult.END;
         }
-        return early == null ? PollResult.NOTHING : PollResult.BYTES;
+        return prefetched == null ? PollResult.NOTHING : PollResult.BYTES;
     }
 
-    /** Takes in what has come; whether it is the last. */
+    /** Reads the available data, up to the bound; returns whether the end of the stream was reached. */
     private boolean readAhead() throws IOException {
         ByteBuf into = alloc().directBuffer(SocketBuffers.READ_SIZE);
         try {
-            while (early == null || early.readableBytes() < MOST_EARLY) {
+            while (prefetched == null || prefetched.readableBytes() < MAX_PREFETCH) {
                 int count = into.clear().writeBytes(javaChannel(), into.capacity());
                 if (count <= 0) {
                     return count < 0;
                 }
-                if (early == null) {
-                    early = alloc().buffer(count);
-                    eventLoop().execute(this::handOn);
+                if (prefetched == null) {
+                    prefetched = alloc().buffer(count);
+                    eventLoop().execute(this::deliverPrefetched);
                 }
-                early.writeBytes(into);
+                prefetched.writeBytes(into);
             }
             return false;
         } finally {
@@ -83,12 +83,12 @@
         }
     }
 
-    /** Has the pipeline read what came early, unless it reads nothing just now. */
-    private void handOn() {
-        if (early != null && isOpen() && config().isAutoRead()) {
+    /** Lets the pipeline read the prefetched data, unless reading is paused. */
+    private void deliverPrefetched() {
+        if (prefetched != null && isOpen() && config().isAutoRead()) {
             unsafe().read();
-            if (early != null) {
-                eventLoop().execute(this::handOn);
+            if (prefetched != null) {
+                eventLoop().execute(this::deliverPrefetched);
             }
         }
     }
@@ -96,35 +96,35 @@
     @Override
     protected void doBeginRead() throws Exception {
         super.doBeginRead();
-        if (early != null) {
-            eventLoop().execute(this::handOn);
+        if (prefetched != null) {
+            eventLoop().execute(this::deliverPrefetched);
         }
     }
 
     @Override
     protected int doReadBytes(ByteBuf to) throws Exception {
-        if (early == null) {
+        if (prefetched == null) {
             return super.doReadBytes(to);
         }
-        int count = Math.min(early.readableBytes(), to.writableBytes());
+        int count = Math.min(prefetched.readableBytes(), to.writableBytes());
         unsafe().recvBufAllocHandle().attemptedBytesRead(to.writableBytes());
-        to.writeBytes(early, count);
-        if (!early.isReadable()) {
-            drop();
+        to.writeBytes(prefetched, count);
+        if (!prefetched.isReadable()) {
+            releasePrefetched();
         }
         return count;
     }
 
-    private void drop() {
-        if (early != null) {
-            early.release();
-            early = null;
+    private void releasePrefetched() {
+        if (prefetched != null) {
+            prefetched.release();
+            prefetched = null;
         }
     }
 
     @Override
     protected void doClose() throws Exception {
-        drop();
+        releasePrefetched();
         super.doClose();
     }
 }
--- a/src/test/java/onyxpaddle/node/AttemptTest.java
+++ b/src/test/java/onyxpaddle/node/AttemptTest.java
@@ -19,9 +19,9 @@
         return new Attempt(exchange, 0, "s1", 0, 1, tally);
     }
 
-    /** A write is done once the system has its bytes; who listens to it may hear so after a reset has been read. */
+    /** A write is complete once the system has its bytes; its listeners may be notified only after a reset has been read. */
     @Test
-    void lastByteThatIsOutCountsBeforeAnyoneHasHeardSo() {
+    void completedWriteCountsBeforeItsListenersAreNotified() {
         RequestCounts tally = new RequestCounts(List.of("book"));
         Attempt attempt = attempt(tally);
         DefaultPromise<Void> write = new DefaultPromise<>(ImmediateEventExecutor.INSTANCE);
@@ -34,7 +34,7 @@
     }
 
     @Test
-    void writeThatFailedHasNotGoneOut() {
+    void failedWriteDoesNotCountAsWritten() {
         Attempt attempt = attempt(new RequestCounts(List.of("book")));
         DefaultPromise<Void> write = new DefaultPromise<>(ImmediateEventExecutor.INSTANCE);
         attempt.setLastWrite(write);
--- a/src/test/java/onyxpaddle/node/InFlightLimitTest.java
+++ b/src/test/java/onyxpaddle/node/InFlightLimitTest.java
@@ -8,7 +8,7 @@
 
 class InFlightLimitTest {
     @Test
-    void theLastTenthIsKeptForWhatIsWorthMost() {
+    void lastTenthIsReservedForTheHighestWorth() {
         InFlightLimit limit = new InFlightLimit(20, 9);
         assertTrue(limit.admits(17, 1));
         assertFalse(limit.admits(18, 1));
@@ -17,13 +17,13 @@
     }
 
     @Test
-    void aSmallLimitStillTakesOneOfEach() {
+    void limitOfOneAdmitsOneRequestOfAnyClass() {
         assertTrue(new InFlightLimit(1, 9).admits(0, 1));
         assertFalse(new InFlightLimit(1, 9).admits(1, 9));
     }
 
     @Test
-    void refusedOnesMayComeBackAfterTheUsualAnswer() {
+    void retryAfterIsTheMovingAverageOfTheLatency() {
         InFlightLimit limit = new InFlightLimit(1, 1);
         assertEquals(10_000_000L, limit.retryAfter());
         limit.answered(100_000_000L);
--- a/src/test/java/onyxpaddle/node/LateLoopTest.java
+++ b/src/test/java/onyxpaddle/node/LateLoopTest.java
@@ -17,15 +17,15 @@
 import onyxpaddle.RatioBalancer;
 import org.junit.jupiter.api.Test;
 
-/** A loop that never comes to its timers, as it has so much to read: what is due is done between one event and the next. */
+/** An event loop that is too busy with reads to run its timers: the dispatcher runs due timers between events. */
 class LateLoopTest {
     private static final long MS = 1_000_000L;
-    private static final long PATIENCE = 1_000 * MS;
+    private static final long CALLER_TIMEOUT = 1_000 * MS;
     private long now = 1_700_000_000_000_000_000L;
     private final List<String> answers = new ArrayList<>();
-    private final List<Attempt> sent = new ArrayList<>();
+    private final List<Attempt> attempts = new ArrayList<>();
     private final Settings settings = settings();
-    /** Takes timers and lets none go off. */
+    /** Accepts timers and never runs them. */
     private final ScheduledExecutorService loop = (ScheduledExecutorService) Proxy.newProxyInstance(LateLoopTest.class.getClassLoader(),
         new Class<?>[] {ScheduledExecutorService.class}, (proxy, method, arguments) -> null);
     private final Dispatcher dispatcher = new Dispatcher(new Clock() {
@@ -42,7 +42,7 @@
     }
 
     private Exchange request(String id) {
-        return new Exchange(new Exchange.Terms(id, settings.classes().get(0), PATIENCE, null, 0, false), null,
+        return new Exchange(new Exchange.Terms(id, settings.classes().get(0), CALLER_TIMEOUT, null, 0, false), null,
             new Body(new SharedLimit(1 << 20).join(), 0, 1), new Caller() {
                 @Override
                 public void served(Answer answer) {
@@ -58,18 +58,18 @@
                 public void failed(boolean late, Answer own) {
                     answers.add(id + " failed");
                     if (id.equals("faulty")) {
-                        throw new IllegalStateException("a front's fault");
+                        throw new IllegalStateException("fault in a front");
                     }
                 }
             });
     }
 
-    private void listed() {
+    private void connectServers() {
         dispatcher.connect(new Upstream() {
             @Override
             public void send(Attempt attempt) {
                 attempt.markWritten();
-                sent.add(attempt);
+                attempts.add(attempt);
             }
 
             @Override
@@ -84,60 +84,60 @@
     }
 
     @Test
-    void timeOutsComeBetweenEventsAndNotOnlyByTheLoopsTimer() {
-        listed();
+    void dueTimeOutsRunBetweenEvents() {
+        connectServers();
         dispatcher.arrived(request("a"), now);
         now += 400 * MS;
         dispatcher.arrived(request("b"), now);
-        assertEquals(2, sent.size());
+        assertEquals(2, attempts.size());
         now += 599 * MS;
         dispatcher.arrived(request("c"), now);
         assertEquals(List.of(), answers);
         now += MS;
         dispatcher.arrived(request("d"), now);
-        assertEquals(List.of("a failed"), answers, "its second is over, and something else has just happened");
+        assertEquals(List.of("a failed"), answers, "its deadline has passed and another event has been handled");
         now += 5_000 * MS;
         dispatcher.arrived(request("e"), now);
         assertEquals(List.of("a failed", "b failed", "c failed", "d failed"), answers);
     }
 
     @Test
-    void aFaultInWhatIsDueCostsNoOtherRequest() {
-        listed();
+    void exceptionInADueTaskAffectsNoOtherRequest() {
+        connectServers();
         dispatcher.arrived(request("faulty"), now);
         dispatcher.arrived(request("b"), now);
         now += 1_001 * MS;
         dispatcher.arrived(request("c"), now);
         assertEquals(List.of("faulty failed", "b failed"), answers);
-        assertEquals(3, sent.size());
+        assertEquals(3, attempts.size());
     }
 
     @Test
-    void aRequestThatCameLongBeforeItWasReadHasWhatIsLeftOfItsTime() {
-        listed();
+    void requestReadLateGetsOnlyItsRemainingTime() {
+        connectServers();
         dispatcher.arrived(request("a"), now - 800 * MS);
         now += 500 * MS;
         dispatcher.arrived(request("b"), now - 1_300 * MS);
-        assertEquals(List.of("a failed", "b refused"), answers, "one ends 0.3 s after its time, one has no time left");
-        assertEquals(1, sent.size());
-        assertNull(sent.get(0).carrier);
+        assertEquals(List.of("a failed", "b refused"), answers, "one fails 0.3 s after its deadline, the other has no time left");
+        assertEquals(1, attempts.size());
+        assertNull(attempts.get(0).carrier);
     }
 
     @Test
-    void agendaKeepsOrderAndForgetsWhatIsCancelled() {
+    void timerQueueKeepsOrderAndRemovesCancelledEntries() {
         TimerQueue agenda = new TimerQueue();
-        List<Integer> done = new ArrayList<>();
-        agenda.add(20, () -> done.add(2));
-        agenda.add(10, () -> done.add(0));
-        TimerQueue.Item cancelled = agenda.add(15, () -> done.add(9));
-        agenda.add(10, () -> done.add(1));
+        List<Integer> executed = new ArrayList<>();
+        agenda.add(20, () -> executed.add(2));
+        agenda.add(10, () -> executed.add(0));
+        TimerQueue.Entry cancelled = agenda.add(15, () -> executed.add(9));
+        agenda.add(10, () -> executed.add(1));
         cancelled.cancel();
-        assertEquals(10, agenda.next());
-        assertNull(agenda.due(9));
-        for (TimerQueue.Item item = agenda.due(20); item != null; item = agenda.due(20)) {
-            item.run();
+        assertEquals(10, agenda.nextAt());
+        assertNull(agenda.pollDue(9));
+        for (TimerQueue.Entry entry = agenda.pollDue(20); entry != null; entry = agenda.pollDue(20)) {
+            entry.run();
         }
-        assertEquals(List.of(0, 1, 2), done);
-        assertEquals(Long.MAX_VALUE, agenda.next());
+        assertEquals(List.of(0, 1, 2), executed);
+        assertEquals(Long.MAX_VALUE, agenda.nextAt());
     }
 }
--- a/src/test/java/onyxpaddle/node/SharedLimitTest.java
+++ b/src/test/java/onyxpaddle/node/SharedLimitTest.java
@@ -12,10 +12,10 @@
 import onyxpaddle.node.SharedLimit.Share;
 import org.junit.jupiter.api.Test;
 
-/** A limit that several share: the whole is never passed, and nobody is kept from its guarantee. */
+/** A limit shared by several members: the total is never exceeded, and every member can use its guarantee. */
 class SharedLimitTest {
     @Test
-    void aloneOneMayHoldAllOfIt() {
+    void singleMemberMayHoldTheTotal() {
         Share only = new SharedLimit(100).join();
         assertTrue(only.take(100));
         assertFalse(only.take(1));
@@ -24,7 +24,7 @@
     }
 
     @Test
-    void oneThatTakesAllItCanLeavesTheOtherItsGuarantee() {
+    void greedyMemberLeavesTheOthersTheirGuarantee() {
         SharedLimit limit = new SharedLimit(100);
         Share greedy = limit.join();
         Share modest = limit.join();
@@ -37,20 +37,20 @@
     }
 
     @Test
-    void whoLeavesGivesItsGuaranteeUpWhenItsLastIsBack() {
+    void leavingMemberGivesUpItsGuaranteeOnceAllIsReturned() {
         SharedLimit limit = new SharedLimit(100);
         Share stays = limit.join();
         Share goes = limit.join();
         assertTrue(goes.take(5));
         goes.leave();
-        assertEquals(75, stays.most());
+        assertEquals(75, stays.maximum());
         goes.giveBack(5);
-        assertEquals(100, stays.most());
+        assertEquals(100, stays.maximum());
     }
 
-    /** Any order of asking, by members that come at the start and give back at random. */
+    /** Members that take and give back at random. */
     @Property(tries = 300, seed = "20261201")
-    void neverOverTheTotalAndNeverUnderAGuarantee(@ForAll @IntRange(min = 1, max = 6) int members,
+    void totalIsNeverExceededAndGuaranteesAreKept(@ForAll @IntRange(min = 1, max = 6) int members,
             @ForAll @IntRange(min = 10, max = 5000) int total, @ForAll long seed) {
         java.util.SplittableRandom random = new java.util.SplittableRandom(seed);
         SharedLimit limit = new SharedLimit(total);
@@ -65,7 +65,7 @@
             if (random.nextInt(3) == 0 && share.held() > 0) {
                 share.giveBack(Math.min(count, share.held()));
             } else if (!share.take(count)) {
-                assertTrue(share.held() + count > guarantee, "kept from its guarantee");
+                assertTrue(share.held() + count > guarantee, "refused within its guarantee");
             }
             assertTrue(limit.held() <= total);
         }
--- a/src/test/java/onyxpaddle/socket/PollableChannelTest.java
+++ b/src/test/java/onyxpaddle/socket/PollableChannelTest.java
@@ -31,16 +31,16 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** All looks are made on a loop that does nothing else meanwhile, so that its own reads come after them. */
+/** All polls run on an event loop that is otherwise blocked, so that its own reads come after them. */
 class PollableChannelTest {
-    private static final int PATIENCE_S = 20;
-    /** Pieces of each length; half of them are found by a look. */
-    private static final int PIECES = 20;
-    private static final int SMALL_PIECE = 1_000;
-    /** More than a look takes in, and less than sockets hold. */
-    private static final int LARGE_PIECE = 6 * SocketBuffers.READ_SIZE;
+    private static final int TIMEOUT_S = 20;
+    /** Number of chunks of each size; half of them are found by a poll. */
+    private static final int CHUNKS = 20;
+    private static final int SMALL_CHUNK = 1_000;
+    /** More than a poll reads, and less than the socket buffers hold. */
+    private static final int LARGE_CHUNK = 6 * SocketBuffers.READ_SIZE;
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    private final ByteArrayOutputStream read = new ByteArrayOutputStream();
+    private final ByteArrayOutputStream received = new ByteArrayOutputStream();
     private final CompletableFuture<byte[]> ended = new CompletableFuture<>();
     private PollableChannel channel;
     private Socket peer;
@@ -54,13 +54,13 @@
                     @Override
                     public void channelRead(ChannelHandlerContext context, Object message) throws Exception {
                         ByteBuf bytes = (ByteBuf) message;
-                        bytes.readBytes(read, bytes.readableBytes());
+                        bytes.readBytes(received, bytes.readableBytes());
                         bytes.release();
                     }
 
                     @Override
                     public void channelInactive(ChannelHandlerContext context) {
-                        ended.complete(read.toByteArray());
+                        ended.complete(received.toByteArray());
                     }
                 }).connect(listener.getInetAddress(), listener.getLocalPort()).sync().channel();
             peer = listener.accept();
@@ -74,90 +74,90 @@
     }
 
     private <T> T onLoop(Callable<T> task) throws Exception {
-        return channel.eventLoop().submit(task).get(PATIENCE_S, TimeUnit.SECONDS);
+        return channel.eventLoop().submit(task).get(TIMEOUT_S, TimeUnit.SECONDS);
     }
 
-    /** What the first look finds that finds anything; nothing where there is none in a long time. */
-    private PollResult awaitSomething() {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_S / 2);
-        PollResult found = channel.poll();
-        while (found == PollResult.NOTHING && System.nanoTime() < end) {
-            found = channel.poll();
+    /** Polls until there is a result; {@code NOTHING} after half of the time-out. */
+    private PollResult pollUntilFound() {
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_S / 2);
+        PollResult result = channel.poll();
+        while (result == PollResult.NOTHING && System.nanoTime() < end) {
+            result = channel.poll();
         }
-        return found;
+        return result;
     }
 
     @Test
-    void findsNothingWhereNothingCame() throws Exception {
+    void pollWithoutDataFindsNothing() throws Exception {
         assertEquals(PollResult.NOTHING, onLoop(channel::poll));
         assertTrue(channel.isActive());
     }
 
     /**
-     * Every second piece is written while the loop stands in a look, so that only the look can find it. The others are left to the loop.
-     * The large ones are more than a look takes in: what came early is followed by what is read in its turn.
+     * Every second chunk is written while the event loop is in a poll, so that only the poll can find it; the loop reads the others.
+     * Large chunks exceed what a poll reads: prefetched bytes are followed by bytes from a normal read.
      */
     @Test
-    void bytesThatAreFoundGoThroughThePipelineOnceAndInOrder() throws Exception {
-        byte[] sent = new byte[PIECES * (SMALL_PIECE + LARGE_PIECE)];
+    void polledBytesPassThePipelineOnceAndInOrder() throws Exception {
+        byte[] sent = new byte[CHUNKS * (SMALL_CHUNK + LARGE_CHUNK)];
         new Random(1).nextBytes(sent);
         ExecutorService writer = Executors.newSingleThreadExecutor();
         try {
-            int at = 0;
-            for (int piece = 0; piece < 2 * PIECES; piece++) {
-                int from = at;
-                int length = piece / 2 % 2 == 0 ? SMALL_PIECE : LARGE_PIECE;
+            int offset = 0;
+            for (int chunk = 0; chunk < 2 * CHUNKS; chunk++) {
+                int from = offset;
+                int length = chunk / 2 % 2 == 0 ? SMALL_CHUNK : LARGE_CHUNK;
                 Callable<Void> write = () -> {
                     peer.getOutputStream().write(sent, from, length);
                     return null;
                 };
-                Future<Void> written = piece % 2 == 0 ? writeDuringALook(writer, write) : writer.submit(write);
-                at += length;
-                written.get(PATIENCE_S, TimeUnit.SECONDS);
-                awaitRead(at);
+                Future<Void> written = chunk % 2 == 0 ? writeDuringPoll(writer, write) : writer.submit(write);
+                offset += length;
+                written.get(TIMEOUT_S, TimeUnit.SECONDS);
+                awaitRead(offset);
             }
-            assertEquals(sent.length, at);
+            assertEquals(sent.length, offset);
         } finally {
             writer.shutdownNow();
         }
         peer.shutdownOutput();
-        assertArrayEquals(sent, ended.get(PATIENCE_S, TimeUnit.SECONDS));
+        assertArrayEquals(sent, ended.get(TIMEOUT_S, TimeUnit.SECONDS));
     }
 
-    /** The look begins before the first byte is written, and ends with the loop's turn in which it found some. */
-    private Future<Void> writeDuringALook(ExecutorService writer, Callable<Void> write) throws Exception {
+    /** Polls from before the first byte is written until some are found, all in one task of the event loop. */
+    private Future<Void> writeDuringPoll(ExecutorService writer, Callable<Void> write) throws Exception {
         return onLoop(() -> {
             assertEquals(PollResult.NOTHING, channel.poll());
-            int before = read.size();
+            int before = received.size();
             Future<Void> written = writer.submit(write);
-            assertEquals(PollResult.BYTES, awaitSomething());
-            assertEquals(before, read.size(), "the pipeline has had them before its turn");
+            assertEquals(PollResult.BYTES, pollUntilFound());
+            assertEquals(before, received.size(), "the pipeline got the bytes before its turn");
             return written;
         });
     }
 
     private void awaitRead(int count) throws Exception {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_S);
-        while (onLoop(read::size) < count) {
-            assertTrue(System.nanoTime() < end, "bytes that were sent are not read");
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_S);
+        while (onLoop(received::size) < count) {
+            assertTrue(System.nanoTime() < end, "sent bytes are not read");
         }
     }
 
     @Test
-    void bytesFoundWhileReadingIsPausedWaitForIt() throws Exception {
+    void bytesPolledWhileReadingIsPausedAreDeliveredOnResume() throws Exception {
         onLoop(() -> channel.config().setAutoRead(false));
         peer.getOutputStream().write(new byte[] {1, 2, 3});
-        assertEquals(PollResult.BYTES, onLoop(this::awaitSomething));
-        assertEquals(0, onLoop(read::size));
+        assertEquals(PollResult.BYTES, onLoop(this::pollUntilFound));
+        assertEquals(0, onLoop(received::size));
         onLoop(() -> channel.config().setAutoRead(true));
-        while (onLoop(read::size) < 3) {
+        while (onLoop(received::size) < 3) {
             Thread.onSpinWait();
         }
-        assertTrue(Arrays.equals(new byte[] {1, 2, 3}, read.toByteArray()));
+        assertTrue(Arrays.equals(new byte[] {1, 2, 3}, received.toByteArray()));
     }
 
     @Test
-    void endIsFoundBehindBytesAndWhileReadingIsPaused() throws Exception {
+    void closeBehindBytesIsFoundWhileReadingIsPaused() throws Exception {
         onLoop(() -> channel.config().setAutoRead(false));
         peer.getOutputStream().write(new byte[20_000]);
         peer.close();
@@ -168,26 +168,26 @@
             return null;
         });
         assertFalse(channel.isActive());
-        ended.get(PATIENCE_S, TimeUnit.SECONDS);
+        ended.get(TIMEOUT_S, TimeUnit.SECONDS);
         assertEquals(PollResult.END, onLoop(channel::poll));
     }
 
     @Test
-    void resetIsAnEnd() throws Exception {
+    void resetCountsAsEnd() throws Exception {
         peer.setSoLinger(true, 0);
-        // The loop stands meanwhile, so that a look is the first to meet it.
-        PollResult found = onLoop(() -> {
+        // The event loop is blocked meanwhile, so that a poll is the first to see the reset.
+        PollResult result = onLoop(() -> {
             assertEquals(PollResult.NOTHING, channel.poll());
             peer.close();
-            return awaitSomething();
+            return pollUntilFound();
         });
-        assertEquals(PollResult.END, found);
-        ended.get(PATIENCE_S, TimeUnit.SECONDS);
+        assertEquals(PollResult.END, result);
+        ended.get(TIMEOUT_S, TimeUnit.SECONDS);
     }
 
-    /** Bounded: a peer that sends without end is not read without end. */
+    /** Guards against unbounded buffering for a peer that never stops sending. */
     @Test
-    void looksAtSoMuchAndNoMore() throws Exception {
+    void prefetchIsBounded() throws Exception {
         onLoop(() -> channel.config().setAutoRead(false));
         Thread flood = new Thread(() -> {
             try {
@@ -202,12 +202,12 @@
         for (int i = 0; i < 1000; i++) {
             onLoop(channel::poll);
         }
-        assertEquals(0, onLoop(read::size));
+        assertEquals(0, onLoop(received::size));
         onLoop(() -> channel.config().setAutoRead(true));
-        while (onLoop(read::size) < 200_000) {
+        while (onLoop(received::size) < 200_000) {
             Thread.onSpinWait();
         }
         channel.close().sync();
-        flood.join(TimeUnit.SECONDS.toMillis(PATIENCE_S));
+        flood.join(TimeUnit.SECONDS.toMillis(TIMEOUT_S));
     }
 }
