--- a/src/main/java/onyxpaddle/bridge/HttpOverRpc.java
+++ b/src/main/java/onyxpaddle/bridge/HttpOverRpc.java
@@ -14,8 +14,8 @@
 import onyxpaddle.node.SharedLimit;
 import onyxpaddle.rpc.ReplyHead;
 import onyxpaddle.rpc.RpcBridge;
-import onyxpaddle.rpc.RpcHead;
-import onyxpaddle.rpc.Values;
+import onyxpaddle.rpc.RpcCallHead;
+import onyxpaddle.rpc.MsgPackValues;
 
 /**
  * Translates HTTP requests for MessagePack-RPC servers: the route names the procedure, and the body is the params array,
@@ -34,16 +34,16 @@
 
     /** Whether a request's body is empty or a MessagePack array, as the parameters of a call must be. */
     public static boolean acceptsBody(Body body) {
-        return body.size() == 0 || Values.items(body.whole()) >= 0;
+        return body.size() == 0 || MsgPackValues.arrayLength(body.whole()) >= 0;
     }
 
     @Override
-    public RpcHead head(Exchange exchange) {
+    public RpcCallHead head(Exchange exchange) {
         if (!(exchange.head instanceof HttpRequestHead request)) {
-            return (RpcHead) exchange.head;
+            return (RpcCallHead) exchange.head;
         }
-        int params = exchange.body.size() == 0 ? 0 : Values.items(exchange.body.whole());
-        return RpcHead.of(request.mapped(), params, request.headers().get("Idempotency-Key"),
+        int params = exchange.body.size() == 0 ? 0 : MsgPackValues.arrayLength(exchange.body.whole());
+        return RpcCallHead.of(request.mapped(), params, request.headers().get("Idempotency-Key"),
             "1".equals(request.headers().get("X-Second-Try")), request.caller());
     }
 
@@ -61,7 +61,7 @@
         HttpResponseStatus status = HttpResponseStatus.OK;
         if (head.failed()) {
             headers.set(ERROR_HEADER, "1");
-            status = Values.isOwnError(part) ? HttpResponseStatus.BAD_GATEWAY : HttpResponseStatus.UNPROCESSABLE_ENTITY;
+            status = MsgPackValues.isNodeError(part) ? HttpResponseStatus.BAD_GATEWAY : HttpResponseStatus.UNPROCESSABLE_ENTITY;
         }
         return AnswerReplacement.replace(answer, new AnswerHead(status, headers, false), Unpooled.copiedBuffer(part), bytes);
     }
--- a/src/main/java/onyxpaddle/bridge/RpcOverHttp.java
+++ b/src/main/java/onyxpaddle/bridge/RpcOverHttp.java
@@ -15,8 +15,8 @@
 import onyxpaddle.node.Exchange;
 import onyxpaddle.node.SharedLimit;
 import onyxpaddle.rpc.ReplyHead;
-import onyxpaddle.rpc.RpcHead;
-import onyxpaddle.rpc.Values;
+import onyxpaddle.rpc.RpcCallHead;
+import onyxpaddle.rpc.MsgPackValues;
 
 /**
  * Translates MessagePack-RPC calls for HTTP servers: a {@code POST} to the path that the procedure maps to, with the params array
@@ -37,7 +37,7 @@
 
     @Override
     public HttpRequestHead head(Exchange exchange) {
-        if (!(exchange.head instanceof RpcHead call)) {
+        if (!(exchange.head instanceof RpcCallHead call)) {
             return (HttpRequestHead) exchange.head;
         }
         HttpHeaders headers = DefaultHttpHeadersFactory.headersFactory().newHeaders();
@@ -67,7 +67,7 @@
 
     @Override
     public Answer answer(Exchange exchange, Answer answer) {
-        if (!(exchange.head instanceof RpcHead)) {
+        if (!(exchange.head instanceof RpcCallHead)) {
             return answer;
         }
         AnswerHead head = (AnswerHead) answer.head();
@@ -77,17 +77,17 @@
         int errorBytes = 1;
         boolean failed = head.status().codeClass() != HttpStatusClass.SUCCESS;
         if (failed) {
-            Values.httpError(reply, head.status().code(), type, body.readableBytes());
+            MsgPackValues.writeHttpError(reply, head.status().code(), type, body.readableBytes());
             reply.writeBytes(body);
             errorBytes = reply.readableBytes();
-            Values.nil(reply);
+            MsgPackValues.writeNil(reply);
         } else {
-            Values.nil(reply);
+            MsgPackValues.writeNil(reply);
             if (!body.isReadable()) {
-                Values.nil(reply);
+                MsgPackValues.writeNil(reply);
             } else {
-                if (!type.equals(MSGPACK) || !Values.whole(body)) {
-                    Values.binaryHead(reply, body.readableBytes());
+                if (!type.equals(MSGPACK) || !MsgPackValues.isSingleValue(body)) {
+                    MsgPackValues.writeBinaryHeader(reply, body.readableBytes());
                 }
                 reply.writeBytes(body);
             }
--- a/src/main/java/onyxpaddle/command/ControlCommand.java
+++ b/src/main/java/onyxpaddle/command/ControlCommand.java
@@ -8,7 +8,7 @@
 import onyxpaddle.config.Units;
 import onyxpaddle.control.ControlProcess;
 import onyxpaddle.control.ControlSettings;
-import onyxpaddle.control.StartException;
+import onyxpaddle.control.StartRefusedException;
 import onyxpaddle.distribution.ConfigurationVersion;
 import onyxpaddle.distribution.EntryKey;
 import picocli.CommandLine.Command;
@@ -82,7 +82,7 @@
                     new ControlSettings(listen, id, folder, publisher ? epoch : 0, takeOverFrom, others, wholeRate));
                 Runtime.getRuntime().addShutdownHook(new Thread(process::close, "end"));
                 return -1;
-            } catch (StartException e) {
+            } catch (StartRefusedException e) {
                 spec.commandLine().getErr().println("lupinmount: " + e.getMessage());
                 return FAULTS;
             }
@@ -91,7 +91,7 @@
         private void check() {
             require(EntryKey.isName(id), "--id: lower-case letters, digits and hyphens");
             require(wholeRate > 0, "--whole-rate: more than nothing");
-            require(!publisher || epoch > 0 && epoch <= ConfigurationVersion.MOST, "--publisher: with --epoch N, from 1 on");
+            require(!publisher || epoch > 0 && epoch <= ConfigurationVersion.MAX, "--publisher: with --epoch N, from 1 on");
             require(!publisher || follow.isEmpty(), "--follow: a publisher follows nobody");
             require(publisher || epoch == 0 && takeOverFrom.isEmpty(), "--epoch, --take-over-from: only with --publisher");
             require(publisher || !follow.isEmpty(), "a replica is told whom to --follow, a publisher is one by --publisher");
--- a/src/main/java/onyxpaddle/command/ControlPublish.java
+++ b/src/main/java/onyxpaddle/command/ControlPublish.java
@@ -78,8 +78,8 @@
             return ControlCommand.FAULTS;
         }
         byte[] body = ChangeJson.write(new ChangeRequest(base, changes));
-        if (body.length > ChangeJson.MOST_BYTES) {
-            throw new ParameterException(spec.commandLine(), "the changes have more than " + ChangeJson.MOST_BYTES + " bytes together");
+        if (body.length > ChangeJson.MAX_BYTES) {
+            throw new ParameterException(spec.commandLine(), "the changes have more than " + ChangeJson.MAX_BYTES + " bytes together");
         }
         long waitMs = Duration.ofNanos(waitNanos).toMillis();
         Response response = new ControlClient().post(publisher, "/v1/changes?acks=" + acks + "&wait_ms=" + waitMs, body,
--- a/src/main/java/onyxpaddle/command/ControlStatus.java
+++ b/src/main/java/onyxpaddle/command/ControlStatus.java
@@ -75,7 +75,7 @@
         List<String> failures = new ArrayList<>();
         for (HostPort at : control) {
             try {
-                Response response = client.get(at, "/v1/status", PATIENCE, StatusJson.MOST_BYTES);
+                Response response = client.get(at, "/v1/status", PATIENCE, StatusJson.MAX_BYTES);
                 if (response.status() == 200) {
                     statuses.add(StatusJson.read(response.body()));
                 } else {
--- a/src/main/java/onyxpaddle/control/ChangeCheck.java
+++ b/src/main/java/onyxpaddle/control/ChangeCheck.java
@@ -43,7 +43,7 @@
     private static Shape shape(EntryKey key, Faults faults) {
         Place place = Place.of(key.toString());
         String top = key.topKey();
-        if (EntryKey.NODES_OWN.contains(top)) {
+        if (EntryKey.NODE_LOCAL_KEYS.contains(top)) {
             faults.add(place, top, "is each node's own and not distributed", "say it in the node's file");
             return null;
         }
@@ -63,7 +63,7 @@
     }
 
     private static String distributable() {
-        return NodeShape.NODE.keys().stream().map(Key::name).filter(name -> !EntryKey.NODES_OWN.contains(name))
+        return NodeShape.NODE.keys().stream().map(Key::name).filter(name -> !EntryKey.NODE_LOCAL_KEYS.contains(name))
             .collect(Collectors.joining(", "));
     }
 }
--- a/src/main/java/onyxpaddle/control/ChangeJson.java
+++ b/src/main/java/onyxpaddle/control/ChangeJson.java
@@ -24,11 +24,11 @@
 /** Changes as JSON: {@code {"base":"1.7","changes":[{"key":"fleet/routes","value":"…"}]}}; a null value removes the entry. */
 public final class ChangeJson {
     /** The most bytes of the changes of one version. */
-    public static final int MOST_BYTES = 2 << 20;
+    public static final int MAX_BYTES = 2 << 20;
     private static final int MOST_CHANGES = 10_000;
     private static final int DEEPEST = 8;
     private static final JsonFactory JSON = JsonFactory.builder().enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION)
-        .streamReadConstraints(StreamReadConstraints.builder().maxNestingDepth(DEEPEST).maxStringLength(Entry.LONGEST_VALUE).build())
+        .streamReadConstraints(StreamReadConstraints.builder().maxNestingDepth(DEEPEST).maxStringLength(Entry.MAX_VALUE_LENGTH).build())
         .build();
 
     private ChangeJson() {
@@ -62,7 +62,7 @@
             parser.nextToken();
             ChangeRequest request = request(parser, fields);
             if (parser.nextToken() != null) {
-                throw fields.wrong("more than one document");
+                throw fields.malformed("more than one document");
             }
             return request;
         } catch (MalformedUpdateException e) {
@@ -84,11 +84,11 @@
             switch (name) {
                 case "base" -> base = fields.version();
                 case "changes" -> changes = changes(parser, fields);
-                default -> throw fields.wrong("a key that is not known; `base` or `changes`");
+                default -> throw fields.malformed("a key that is not known; `base` or `changes`");
             }
         }
         if (changes.isEmpty()) {
-            throw fields.wrong("no changes");
+            throw fields.malformed("no changes");
         }
         return new ChangeRequest(base, changes);
     }
@@ -100,10 +100,10 @@
         while (parser.nextToken() != JsonToken.END_ARRAY) {
             Change change = change(parser, fields);
             if (!keys.add(change.key())) {
-                throw fields.wrong(change.key() + " stands twice");
+                throw fields.malformed(change.key() + " stands twice");
             }
             if (changes.size() == MOST_CHANGES) {
-                throw fields.wrong("more than " + MOST_CHANGES + " changes");
+                throw fields.malformed("more than " + MOST_CHANGES + " changes");
             }
             changes.add(change);
         }
@@ -124,11 +124,11 @@
                     valued = true;
                     value = fields.textOrNull();
                 }
-                default -> throw fields.wrong("a key that is not known; `key` or `value`");
+                default -> throw fields.malformed("a key that is not known; `key` or `value`");
             }
         }
         if (key == null || !valued) {
-            throw fields.wrong((key == null ? "`key`" : "`value`") + " is missing");
+            throw fields.malformed((key == null ? "`key`" : "`value`") + " is missing");
         }
         return new Change(key, value);
     }
--- a/src/main/java/onyxpaddle/control/ConfigurationRequest.java
+++ b/src/main/java/onyxpaddle/control/ConfigurationRequest.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import onyxpaddle.distribution.ConfigurationVersion;
 import onyxpaddle.distribution.EntryKey;
-import onyxpaddle.distribution.Interest;
+import onyxpaddle.distribution.Subscription;
 
 /**
  * A call for configuration.
@@ -18,9 +18,9 @@
  * @param refused the last version that the node refused, or {@code NONE}
  * @param fault the first fault of what it refused; empty for none
  */
-record ConfigurationRequest(String replica, Interest interest, ConfigurationVersion after, ConfigurationVersion pageOf, int waitMs,
+record ConfigurationRequest(String replica, Subscription subscription, ConfigurationVersion after, ConfigurationVersion pageOf, int waitMs,
         ConfigurationVersion inForce, ConfigurationVersion refused, String fault) {
-    /** A caller that waits longer would keep its connection from telling that its process is gone. */
+    /** A caller that waits longer would keep its connection from served that its process is gone. */
     static final int LONGEST_WAIT_MS = 10_000;
     private static final int LONGEST_FAULT = 300;
     private static final int MOST_PARAMETERS = 32;
@@ -31,12 +31,12 @@
                 .parameters();
             boolean all = "all".equals(text(query, "scope", ""));
             String replica = all ? name(query, "replica") : null;
-            Interest interest = all ? Interest.ALL : new Interest(name(query, "node"), text(query, "service", ""));
-            ConfigurationVersion after = new ConfigurationVersion(number(query, "epoch", ConfigurationVersion.MOST),
-                number(query, "after", ConfigurationVersion.MOST));
+            Subscription subscription = all ? Subscription.ALL : new Subscription(name(query, "node"), text(query, "service", ""));
+            ConfigurationVersion after = new ConfigurationVersion(number(query, "epoch", ConfigurationVersion.MAX),
+                number(query, "after", ConfigurationVersion.MAX));
             int waitMs = (int) number(query, "wait_ms", LONGEST_WAIT_MS);
             String fault = text(query, "fault", "").replaceAll("\\p{Cntrl}", "?");
-            return new ConfigurationRequest(replica, interest, after, query.containsKey("page_of") ? version(query, "page_of") : null,
+            return new ConfigurationRequest(replica, subscription, after, query.containsKey("page_of") ? version(query, "page_of") : null,
                 waitMs, version(query, "in_force"), version(query, "refused"),
                 fault.length() > LONGEST_FAULT ? fault.substring(0, LONGEST_FAULT) : fault);
         } catch (IllegalArgumentException e) {
@@ -46,7 +46,7 @@
 
     /** The caller's name among all. */
     String caller() {
-        return replica != null ? "replica " + replica : interest.node();
+        return replica != null ? "replica " + replica : subscription.node();
     }
 
     private static String text(Map<String, List<String>> query, String name, String usual) {
--- a/src/main/java/onyxpaddle/control/ControlCalls.java
+++ b/src/main/java/onyxpaddle/control/ControlCalls.java
@@ -11,16 +11,16 @@
 import java.util.function.LongSupplier;
 import onyxpaddle.control.ControlConnection.Calls;
 import onyxpaddle.control.Publisher.Asked;
-import onyxpaddle.control.Telling.NotNow;
-import onyxpaddle.control.Telling.Reply;
-import onyxpaddle.control.Telling.Tell;
+import onyxpaddle.control.ServedConfiguration.NotNow;
+import onyxpaddle.control.ServedConfiguration.Reply;
+import onyxpaddle.control.ServedConfiguration.Tell;
 import onyxpaddle.control.WaitingCalls.Waiting;
 import onyxpaddle.distribution.UpdateJson;
 import onyxpaddle.node.Log;
 
 /** What a control process is called for. All on its event loop. */
 final class ControlCalls implements Calls {
-    /** Bodies that are held at once: each of {@link ChangeJson#MOST_BYTES} at most. */
+    /** Bodies that are held at once: each of {@link ChangeJson#MAX_BYTES} at most. */
     private static final int MOST_BODIES = 8;
     private static final int MOST_ACKS = Reports.MOST_FOLLOWERS;
     private static final int USUAL_ACK_WAIT_MS = 5_000;
@@ -29,7 +29,7 @@
     private final EventLoop loop;
     private final DiskThread disk;
     private final StateStore store;
-    private final Telling telling;
+    private final ServedConfiguration served;
     private final LongSupplier clock;
     private final Reports reports = new Reports();
     private final WaitingCalls waiting = new WaitingCalls();
@@ -37,14 +37,14 @@
     private int bodies;
 
     /** @param clock nanoseconds that do not go back */
-    ControlCalls(ControlSettings settings, EventLoop loop, DiskThread disk, StateStore store, Telling telling, LongSupplier clock) {
+    ControlCalls(ControlSettings settings, EventLoop loop, DiskThread disk, StateStore store, ServedConfiguration served, LongSupplier clock) {
         this.settings = settings;
         this.loop = loop;
         this.disk = disk;
         this.store = store;
-        this.telling = telling;
+        this.served = served;
         this.clock = clock;
-        publisher = settings.publisher() ? new Publisher(settings.epoch(), loop, disk, store, telling, reports, this::news) : null;
+        publisher = settings.publisher() ? new Publisher(settings.epoch(), loop, disk, store, served, reports, this::news) : null;
     }
 
     @Override
@@ -76,15 +76,15 @@
         if (!settings.id().equals(request.replica())) {
             reports.hear(request, now);
         }
-        boolean higher = telling.hear(request.after()) | telling.hear(request.inForce());
+        boolean higher = served.hear(request.after()) | served.hear(request.inForce());
         if (higher) {
             keepEpoch();
         }
         if (publisher != null) {
             publisher.heard();
         }
-        Reply reply = telling.reply(request, request.waitMs() > 0, now);
-        if (reply instanceof Telling.Wait) {
+        Reply reply = served.reply(request, request.waitMs() > 0, now);
+        if (reply instanceof ServedConfiguration.Wait) {
             Future<?> end = loop.schedule(() -> ended(connection, request), request.waitMs(), TimeUnit.MILLISECONDS);
             waiting.add(new Waiting(connection, request, end));
         } else {
@@ -99,15 +99,15 @@
 
     private void ended(ControlConnection connection, ConfigurationRequest request) {
         waiting.remove(connection);
-        connection.answer(answer(telling.reply(request, false, clock.getAsLong())));
+        connection.answer(answer(served.reply(request, false, clock.getAsLong())));
     }
 
     /** There is something new to tell: looks at all that wait, in one pass. */
     void news() {
         long now = clock.getAsLong();
         waiting.each(call -> {
-            Reply reply = telling.reply(call.request(), true, now);
-            if (!(reply instanceof Telling.Wait)) {
+            Reply reply = served.reply(call.request(), true, now);
+            if (!(reply instanceof ServedConfiguration.Wait)) {
                 waiting.remove(call.connection());
                 call.connection().answer(answer(reply));
             }
@@ -120,7 +120,7 @@
     }
 
     private void keepEpoch() {
-        long epoch = telling.highestEpoch();
+        long epoch = served.highestEpoch();
         Log.line("control: heard of epoch " + epoch);
         boolean taken = disk.run(() -> {
             try {
@@ -158,7 +158,7 @@
 
     private Status status() {
         long now = clock.getAsLong();
-        return new Status(settings.id(), settings.publisher(), telling.stopped(), telling.version(), telling.staleMs(now),
+        return new Status(settings.id(), settings.publisher(), served.stopped(), served.version(), served.staleMs(now),
             waiting.count(), reports.followers(now), reports.nodes(now));
     }
 
--- a/src/main/java/onyxpaddle/control/ControlConnection.java
+++ b/src/main/java/onyxpaddle/control/ControlConnection.java
@@ -98,8 +98,8 @@
     }
 
     private void beginBody(HttpRequest head) {
-        if (HttpUtil.getContentLength(head, 0L) > ChangeJson.MOST_BYTES) {
-            refuse(Answer.refused(Answer.TOO_LARGE, "a body of more than " + ChangeJson.MOST_BYTES + " bytes"));
+        if (HttpUtil.getContentLength(head, 0L) > ChangeJson.MAX_BYTES) {
+            refuse(Answer.refused(Answer.TOO_LARGE, "a body of more than " + ChangeJson.MAX_BYTES + " bytes"));
         } else if (!calls.openBody()) {
             refuse(Answer.busy("other changes are being taken", 0));
         } else {
@@ -117,7 +117,7 @@
             return;
         }
         if (body != null && !append(content.content())) {
-            refuse(Answer.refused(Answer.TOO_LARGE, "a body of more than " + ChangeJson.MOST_BYTES + " bytes"));
+            refuse(Answer.refused(Answer.TOO_LARGE, "a body of more than " + ChangeJson.MAX_BYTES + " bytes"));
             return;
         }
         if (content instanceof LastHttpContent) {
@@ -130,7 +130,7 @@
     }
 
     private boolean append(ByteBuf bytes) {
-        if (body.size() + bytes.readableBytes() > ChangeJson.MOST_BYTES) {
+        if (body.size() + bytes.readableBytes() > ChangeJson.MAX_BYTES) {
             return false;
         }
         try {
--- a/src/main/java/onyxpaddle/control/ControlProcess.java
+++ b/src/main/java/onyxpaddle/control/ControlProcess.java
@@ -41,21 +41,21 @@
     /**
      * Starts a process; it listens once this returns.
      *
-     * @throws StartException where its state, its epoch or its folder forbids it
+     * @throws StartRefusedException where its state, its epoch or its folder forbids it
      * @throws IOException where the disk or the address can't be used, or nobody answers from whom to take over
      */
-    public static ControlProcess start(ControlSettings settings) throws IOException, StartException, InterruptedException {
+    public static ControlProcess start(ControlSettings settings) throws IOException, StartRefusedException, InterruptedException {
         ControlProcess process = new ControlProcess(settings, locked(settings.folder()));
         try {
             process.begin();
             return process;
-        } catch (IOException | StartException | InterruptedException | RuntimeException e) {
+        } catch (IOException | StartRefusedException | InterruptedException | RuntimeException e) {
             process.close();
             throw e;
         }
     }
 
-    private static FileChannel locked(Path folder) throws IOException, StartException {
+    private static FileChannel locked(Path folder) throws IOException, StartRefusedException {
         Files.createDirectories(folder);
         FileChannel lock = FileChannel.open(folder.resolve("lock"), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
         try {
@@ -66,35 +66,35 @@
             // Of this very JVM: the same as of another.
         }
         lock.close();
-        throw new StartException(folder + ": another control process keeps its state here");
+        throw new StartRefusedException(folder + ": another control process keeps its state here");
     }
 
-    private void begin() throws IOException, StartException, InterruptedException {
+    private void begin() throws IOException, StartRefusedException, InterruptedException {
         StateStore store = new StateStore(settings.folder());
         StateStore.Loaded loaded = store.load();
-        Telling telling;
+        ServedConfiguration served;
         if (settings.publisher()) {
             ConfigurationTable table = new PublisherStart(settings, store, loaded).table();
-            telling = new Telling(settings.epoch(), settings.epoch(), table, true, settings.wholeBytesPerSecond());
+            served = new ServedConfiguration(settings.epoch(), settings.epoch(), table, true, settings.wholeBytesPerSecond());
         } else {
             if (loaded.damage() != null) {
                 Log.line("control: tells nothing until it has followed another process: " + loaded.damage());
             }
-            telling = new Telling(0, loaded.epoch(), loaded.table(), loaded.damage() == null, settings.wholeBytesPerSecond());
+            served = new ServedConfiguration(0, loaded.epoch(), loaded.table(), loaded.damage() == null, settings.wholeBytesPerSecond());
         }
         EventLoop loop = group.next();
-        calls = new ControlCalls(settings, loop, disk, store, telling, System::nanoTime);
+        calls = new ControlCalls(settings, loop, disk, store, served, System::nanoTime);
         server = new ControlServer(loop, calls);
         server.listen(settings.listen(), allocator);
         if (!settings.follow().isEmpty()) {
-            watch = new Follower(loop, disk, store, telling, System::nanoTime, calls::news).watch(settings, allocator);
+            watch = new Follower(loop, disk, store, served, System::nanoTime, calls::news).watch(settings, allocator);
             watch.start();
         }
         if (!settings.takeOverFrom().isEmpty()) {
-            announcement = new EpochAnnouncement(settings, loop, telling);
+            announcement = new EpochAnnouncement(settings, loop, served);
         }
         Log.line("control: " + settings.id() + ", " + (settings.publisher() ? "the publisher of epoch " + settings.epoch() : "a replica")
-            + ", at " + address().getHostString() + ":" + address().getPort() + " with version " + telling.version());
+            + ", at " + address().getHostString() + ":" + address().getPort() + " with version " + served.version());
     }
 
     /** Where it listens. */
--- a/src/main/java/onyxpaddle/control/ControlSettings.java
+++ b/src/main/java/onyxpaddle/control/ControlSettings.java
@@ -18,7 +18,7 @@
 public record ControlSettings(HostPort listen, String id, Path folder, long epoch, List<HostPort> takeOverFrom, List<HostPort> follow,
         long wholeBytesPerSecond) {
     /** 920 nodes with 32 KB each within 4 s, at less than a tenth of a link of 1 Gbit/s. */
-    public static final long USUAL_WHOLE_RATE = 8L << 20;
+    public static final long DEFAULT_FULL_UPDATE_RATE = 8L << 20;
 
     public ControlSettings {
         takeOverFrom = List.copyOf(takeOverFrom);
--- a/src/main/java/onyxpaddle/control/EpochAnnouncement.java
+++ b/src/main/java/onyxpaddle/control/EpochAnnouncement.java
@@ -23,7 +23,7 @@
     private static final Duration PATIENCE = Duration.ofMillis(500);
 
     private final ControlSettings settings;
-    private final Telling telling;
+    private final ServedConfiguration served;
     private final ControlClient client = new ControlClient();
     private final AtomicBoolean calling = new AtomicBoolean();
     private final ExecutorService caller = Executors.newSingleThreadExecutor(task -> {
@@ -33,18 +33,18 @@
     });
     private final Future<?> round;
 
-    /** Begins; {@code telling} is read on the loop. */
-    EpochAnnouncement(ControlSettings settings, EventLoop loop, Telling telling) {
+    /** Begins; {@code served} is read on the loop. */
+    EpochAnnouncement(ControlSettings settings, EventLoop loop, ServedConfiguration served) {
         this.settings = settings;
-        this.telling = telling;
+        this.served = served;
         round = loop.scheduleAtFixedRate(this::announce, EVERY_MS, EVERY_MS, TimeUnit.MILLISECONDS);
     }
 
     private void announce() {
-        if (telling.stopped() || !calling.compareAndSet(false, true)) {
+        if (served.stopped() || !calling.compareAndSet(false, true)) {
             return;
         }
-        ConfigurationVersion version = telling.version();
+        ConfigurationVersion version = served.version();
         caller.execute(() -> {
             try {
                 settings.takeOverFrom().forEach(at -> announce(at, version));
@@ -57,7 +57,7 @@
     private void announce(HostPort at, ConfigurationVersion version) {
         try {
             client.get(at, "/v1/configuration?scope=all&replica=" + settings.id() + "&epoch=" + version.epoch() + "&after="
-                + version.number(), PATIENCE, UpdateJson.MOST_BYTES);
+                + version.number(), PATIENCE, UpdateJson.MAX_BYTES);
         } catch (IOException e) {
             // Stopped or cut off: the next round tries again.
         } catch (InterruptedException e) {
--- a/src/main/java/onyxpaddle/control/Follower.java
+++ b/src/main/java/onyxpaddle/control/Follower.java
@@ -10,7 +10,7 @@
 import java.util.function.LongSupplier;
 import onyxpaddle.config.HostPort;
 import onyxpaddle.distribution.ConfigurationTable;
-import onyxpaddle.distribution.ConfigurationTable.Applied;
+import onyxpaddle.distribution.ConfigurationTable.ApplyResult;
 import onyxpaddle.distribution.ConfigurationTable.Outcome;
 import onyxpaddle.distribution.ConfigurationVersion;
 import onyxpaddle.distribution.ConfigurationWatch;
@@ -22,14 +22,14 @@
  * A replica's following of other control processes. What comes is held only once it is durable, so that the version asked after
  * is a confirmation; until then it is told again and passed over. On the event loop.
  */
-final class Follower implements ConfigurationWatch.Holder {
+final class Follower implements ConfigurationWatch.Receiver {
     /** After a write that failed: a full disk is not helped by haste. */
     private static final long WRITE_PAUSE_NANOS = TimeUnit.SECONDS.toNanos(1);
 
     private final EventLoop loop;
     private final DiskThread disk;
     private final StateStore store;
-    private final Telling telling;
+    private final ServedConfiguration served;
     private final LongSupplier clock;
     private final Runnable onNews;
     private boolean writing;
@@ -37,11 +37,11 @@
     private long failedAt;
 
     /** @param onNews runs after something new may be told */
-    Follower(EventLoop loop, DiskThread disk, StateStore store, Telling telling, LongSupplier clock, Runnable onNews) {
+    Follower(EventLoop loop, DiskThread disk, StateStore store, ServedConfiguration served, LongSupplier clock, Runnable onNews) {
         this.loop = loop;
         this.disk = disk;
         this.store = store;
-        this.telling = telling;
+        this.served = served;
         this.clock = clock;
         this.onNews = onNews;
     }
@@ -56,20 +56,20 @@
     }
 
     @Override
-    public ConfigurationVersion held() {
-        return telling.table().version();
+    public ConfigurationVersion currentVersion() {
+        return served.table().version();
     }
 
     @Override
-    public String report() {
+    public String reportParameters() {
         return "";
     }
 
     @Override
-    public Outcome take(Update update) {
-        Applied applied = telling.table().apply(update);
+    public Outcome receive(Update update) {
+        ApplyResult applied = served.table().apply(update);
         if (applied.outcome() == Outcome.UNCHANGED) {
-            telling.heard(update.staleMs(), clock.getAsLong());
+            served.heard(update.staleMs(), clock.getAsLong());
         } else if (applied.outcome() == Outcome.APPLIED) {
             keep(applied.table(), update.staleMs(), clock.getAsLong());
         }
@@ -109,8 +109,8 @@
             Log.line("control: the disk takes what is told again");
         }
         failed = false;
-        telling.durable(table);
-        telling.heard(staleMs, toldAt);
+        served.durable(table);
+        served.heard(staleMs, toldAt);
         onNews.run();
     }
 }
--- a/src/main/java/onyxpaddle/control/Publisher.java
+++ b/src/main/java/onyxpaddle/control/Publisher.java
@@ -33,32 +33,32 @@
     private final EventLoop loop;
     private final DiskThread disk;
     private final StateStore store;
-    private final Telling telling;
+    private final ServedConfiguration served;
     private final Reports reports;
     private final Runnable onNews;
     private final List<Unconfirmed> unconfirmed = new ArrayList<>();
     /** The newest durable table; the disk thread's. */
     private ConfigurationTable newest;
-    /** Whether {@link Telling#stopped}, for the disk thread. */
+    /** Whether {@link ServedConfiguration#stopped}, for the disk thread. */
     private volatile boolean stopped;
 
     /** @param onNews runs on the loop after a new version may be told */
-    Publisher(long epoch, EventLoop loop, DiskThread disk, StateStore store, Telling telling, Reports reports, Runnable onNews) {
+    Publisher(long epoch, EventLoop loop, DiskThread disk, StateStore store, ServedConfiguration served, Reports reports, Runnable onNews) {
         this.epoch = epoch;
         this.loop = loop;
         this.disk = disk;
         this.store = store;
-        this.telling = telling;
+        this.served = served;
         this.reports = reports;
         this.onNews = onNews;
-        newest = telling.table();
-        stopped = telling.stopped();
+        newest = served.table();
+        stopped = served.stopped();
     }
 
     /** Takes the body of a call for changes; the answer comes on the loop. */
     void publish(byte[] body, Asked asked, Consumer<Answer> answer) {
-        if (telling.stopped()) {
-            answer.accept(Answer.refused(Answer.FENCED, telling.stoppedWhy()));
+        if (served.stopped()) {
+            answer.accept(Answer.refused(Answer.FENCED, served.stoppedWhy()));
         } else if (!disk.run(() -> write(body, asked, answer))) {
             answer.accept(Answer.busy("too many changes wait for the disk", 0));
         }
@@ -102,7 +102,7 @@
         if (stopped) {
             return Answer.refused(Answer.FENCED, "fenced");
         }
-        return keep(newest.changed(epoch, request.changes()));
+        return keep(newest.withChanges(epoch, request.changes()));
     }
 
     private List<String> conflicts(ChangeRequest request) {
@@ -110,7 +110,7 @@
         if (base == null) {
             return List.of();
         }
-        if (base.isAfter(newest.version()) || !newest.reaches(base)) {
+        if (base.isAfter(newest.version()) || !newest.hasHistorySince(base)) {
             return List.of("the base " + base + " is no version that " + newest.version() + " goes back to");
         }
         List<String> conflicts = new ArrayList<>();
@@ -124,9 +124,9 @@
     }
 
     private Answer keep(ConfigurationTable next) {
-        if (StateStore.encoded(next).length > UpdateJson.MOST_BYTES) {
+        if (StateStore.encoded(next).length > UpdateJson.MAX_BYTES) {
             return Answer.refused(Answer.FAULTS, "faults",
-                List.of("the configuration would have more than " + UpdateJson.MOST_BYTES + " bytes; remove entries first"));
+                List.of("the configuration would have more than " + UpdateJson.MAX_BYTES + " bytes; remove entries first"));
         }
         try {
             store.write(next);
@@ -141,11 +141,11 @@
     // ---- on the loop ----
 
     private void written(ConfigurationTable table, Asked asked, Consumer<Answer> answer) {
-        if (telling.stopped()) {
-            answer.accept(Answer.refused(Answer.FENCED, telling.stoppedWhy()));
+        if (served.stopped()) {
+            answer.accept(Answer.refused(Answer.FENCED, served.stoppedWhy()));
             return;
         }
-        telling.durable(table);
+        served.durable(table);
         onNews.run();
         ConfigurationVersion version = table.version();
         int holding = reports.holding(version);
@@ -169,14 +169,14 @@
 
     /** A replica has said what it holds, or a higher epoch was seen. */
     void heard() {
-        stopped = telling.stopped();
+        stopped = served.stopped();
         unconfirmed.removeIf(each -> {
             int holding = reports.holding(each.version());
             if (!stopped && holding < each.acks()) {
                 return false;
             }
             each.end().cancel(false);
-            each.answer().accept(stopped ? Answer.refused(Answer.FENCED, telling.stoppedWhy() + "; " + each.version() + " may be lost")
+            each.answer().accept(stopped ? Answer.refused(Answer.FENCED, served.stoppedWhy() + "; " + each.version() + " may be lost")
                 : Answer.published(Answer.OK, each.version().toString(), holding));
             return true;
         });
--- a/src/main/java/onyxpaddle/control/PublisherStart.java
+++ b/src/main/java/onyxpaddle/control/PublisherStart.java
@@ -17,10 +17,10 @@
     }
 
     /** The table, durable; of this publisher's epoch. */
-    ConfigurationTable table() throws IOException, StartException, InterruptedException {
+    ConfigurationTable table() throws IOException, StartRefusedException, InterruptedException {
         long epoch = settings.epoch();
         if (loaded.epoch() > epoch || loaded.table().version().epoch() > epoch) {
-            throw new StartException("epoch " + epoch + " is over: " + Math.max(loaded.epoch(), loaded.table().version().epoch())
+            throw new StartRefusedException("epoch " + epoch + " is over: " + Math.max(loaded.epoch(), loaded.table().version().epoch())
                 + " has been seen here; a publisher that is to take over needs a higher one");
         }
         boolean own = loaded.damage() == null && loaded.table().version().epoch() == epoch;
@@ -34,23 +34,23 @@
         return begun;
     }
 
-    private ConfigurationTable fromDisk() throws StartException {
+    private ConfigurationTable fromDisk() throws StartRefusedException {
         boolean lost = loaded.table().version().epoch() == 0 && loaded.epoch() > 0;
         if (loaded.damage() != null || lost) {
-            throw new StartException((lost ? "the configuration is missing beside a known epoch" : loaded.damage())
+            throw new StartRefusedException((lost ? "the configuration is missing beside a known epoch" : loaded.damage())
                 + "; a publisher must not tell less than it told: start it with a higher --epoch and --take-over-from a replica");
         }
-        return loaded.table().version().epoch() == 0 ? ConfigurationTable.first(settings.epoch())
-            : loaded.table().changed(settings.epoch(), List.of());
+        return loaded.table().version().epoch() == 0 ? ConfigurationTable.initial(settings.epoch())
+            : loaded.table().withChanges(settings.epoch(), List.of());
     }
 
-    private ConfigurationTable takenOver() throws IOException, StartException, InterruptedException {
+    private ConfigurationTable takenOver() throws IOException, StartRefusedException, InterruptedException {
         ConfigurationTable copied = new TakeOver(settings).copy();
         ConfigurationTable newest = copied.version().isAfter(loaded.table().version()) ? copied : loaded.table();
         if (newest.version().epoch() >= settings.epoch()) {
-            throw new StartException("epoch " + settings.epoch() + " has begun already: a replica is at " + newest.version()
+            throw new StartRefusedException("epoch " + settings.epoch() + " has begun already: a replica is at " + newest.version()
                 + "; take over with a higher --epoch");
         }
-        return newest.changed(settings.epoch(), List.of());
+        return newest.withChanges(settings.epoch(), List.of());
     }
 }
--- a/src/main/java/onyxpaddle/control/Reports.java
+++ b/src/main/java/onyxpaddle/control/Reports.java
@@ -33,7 +33,7 @@
 
     void hear(ConfigurationRequest request, long now) {
         Map<String, Heard> heard = request.replica() == null ? nodes : followers;
-        heard.put(request.replica() == null ? request.interest().node() : request.replica(), new Heard(request, now));
+        heard.put(request.replica() == null ? request.subscription().node() : request.replica(), new Heard(request, now));
     }
 
     /** How many replicas have that version durable. */
@@ -53,7 +53,7 @@
 
     private static NodeReport report(Heard heard, long now) {
         ConfigurationRequest said = heard.request();
-        return new NodeReport(said.interest().node(), said.interest().service(), said.after(), said.inForce(), said.refused(),
+        return new NodeReport(said.subscription().node(), said.subscription().service(), said.after(), said.inForce(), said.refused(),
             said.fault(), age(heard, now));
     }
 
--- a/src/main/java/onyxpaddle/control/Telling.java
+++ b/src/main/java/onyxpaddle/control/ServedConfiguration.java
@@ -5,15 +5,15 @@
 import onyxpaddle.distribution.ConfigurationVersion;
 import onyxpaddle.distribution.PublisherFence;
 import onyxpaddle.distribution.Update;
-import onyxpaddle.distribution.UpdatePages;
-import onyxpaddle.distribution.WholeAnswerPacer;
-import onyxpaddle.distribution.WholeAnswerPacer.Later;
+import onyxpaddle.distribution.UpdatePager;
+import onyxpaddle.distribution.FullUpdatePacer;
+import onyxpaddle.distribution.FullUpdatePacer.Deferred;
 
 /**
  * Decides what a control process answers: what it tells is durable on its own disk. Does no I/O; times are nanoseconds of a
  * clock that does not go back. For one thread.
  */
-final class Telling {
+final class ServedConfiguration {
     /** About the most bytes of one answer, if no single version has more: a client on a line of 2 MB/s has it in 2 s. */
     static final long PAGE_BYTES = 4L << 20;
     /** Answers from this size on are paced like wholes; a node's budget for 8 s is 24 KB. */
@@ -39,7 +39,7 @@
 
     private final boolean publisher;
     private final PublisherFence fence;
-    private final WholeAnswerPacer pacer;
+    private final FullUpdatePacer pacer;
     private ConfigurationTable table;
     private boolean begun;
     private boolean lostChanges;
@@ -52,10 +52,10 @@
      * @param table what is on disk
      * @param begun whether that may be told already; else only after something newer or level was heard
      */
-    Telling(long epoch, long highestEpoch, ConfigurationTable table, boolean begun, long wholeBytesPerSecond) {
+    ServedConfiguration(long epoch, long highestEpoch, ConfigurationTable table, boolean begun, long wholeBytesPerSecond) {
         publisher = epoch > 0;
         fence = new PublisherFence(epoch, Math.max(highestEpoch, table.version().epoch()));
-        pacer = new WholeAnswerPacer(wholeBytesPerSecond);
+        pacer = new FullUpdatePacer(wholeBytesPerSecond);
         this.table = table;
         this.begun = begun && table.version().epoch() > 0;
     }
@@ -91,7 +91,7 @@
         if (publisher && !stopped()) {
             return 0;
         }
-        return heard ? TimeUnit.NANOSECONDS.toMillis(now - heardPublisherAt) : Update.NEVER_HEARD;
+        return heard ? TimeUnit.NANOSECONDS.toMillis(now - heardPublisherAt) : Update.NO_PUBLISHER_CONTACT;
     }
 
     /**
@@ -102,7 +102,7 @@
     boolean hear(ConfigurationVersion held) {
         // A publisher tells only its own versions: one of its epoch beyond its last is of before its disk lost it.
         lostChanges |= publisher && held.epoch() == table.version().epoch() && held.isAfter(table.version());
-        return fence.hear(held.epoch());
+        return fence.observe(held.epoch());
     }
 
     /** Whether this publisher may publish no more. */
@@ -112,12 +112,12 @@
 
     /** Why it may not. */
     String stoppedWhy() {
-        return fence.fenced() ? "a publisher of epoch " + fence.highest() + " has been seen: this one is fenced"
+        return fence.fenced() ? "a publisher of epoch " + fence.highestEpoch() + " has been seen: this one is fenced"
             : "a caller holds a later version than this publisher made: its disk has lost changes; take over with a higher epoch";
     }
 
     long highestEpoch() {
-        return fence.highest();
+        return fence.highestEpoch();
     }
 
     /** How to answer a call; {@code mayWait}: false once its time has passed. */
@@ -125,16 +125,16 @@
         if (!begun) {
             return new NotNow(NO_STATE_WAIT_NANOS, "no state yet");
         }
-        Update update = request.pageOf() == null ? table.difference(request.after(), request.interest(), staleMs(now))
-            : table.restOfWhole(request.after(), request.pageOf(), request.interest(), staleMs(now));
+        Update update = request.pageOf() == null ? table.deltaSince(request.after(), request.subscription(), staleMs(now))
+            : table.remainingFullUpdate(request.after(), request.pageOf(), request.subscription(), staleMs(now));
         boolean ahead = request.after().isAfter(table.version());
-        if (mayWait && !ahead && !update.whole() && update.entries().isEmpty() && request.pageOf() == null
-                && !table.hasNews(request.after(), request.interest())) {
+        if (mayWait && !ahead && !update.full() && update.entries().isEmpty() && request.pageOf() == null
+                && !table.hasChangesSince(request.after(), request.subscription())) {
             return new Wait();
         }
-        Update page = UpdatePages.first(update, PAGE_BYTES);
-        long bytes = UpdatePages.size(page);
-        if ((page.whole() || bytes > PACED_BYTES) && pacer.ask(request.caller(), bytes, now) instanceof Later later) {
+        Update page = UpdatePager.firstPage(update, PAGE_BYTES);
+        long bytes = UpdatePager.estimatedBytes(page);
+        if ((page.full() || bytes > PACED_BYTES) && pacer.request(request.caller(), bytes, now) instanceof Deferred later) {
             return new NotNow(later.waitNanos(), "whole answers are paced");
         }
         return new Tell(page);
--- a/src/main/java/onyxpaddle/control/StartException.java
+++ b/src/main/java/onyxpaddle/control/StartRefusedException.java
@@ -1,10 +1,10 @@
 package onyxpaddle.control;
 
 /** A control process must not start as it was told to; the message says why and what to do. */
-public final class StartException extends Exception {
+public final class StartRefusedException extends Exception {
     private static final long serialVersionUID = 1;
 
-    StartException(String message) {
+    StartRefusedException(String message) {
         super(message);
     }
 }
--- a/src/main/java/onyxpaddle/control/StateStore.java
+++ b/src/main/java/onyxpaddle/control/StateStore.java
@@ -4,13 +4,13 @@
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Path;
 import onyxpaddle.distribution.ConfigurationTable;
-import onyxpaddle.distribution.Interest;
+import onyxpaddle.distribution.Subscription;
 import onyxpaddle.distribution.MalformedUpdateException;
 import onyxpaddle.distribution.SnapshotFile;
-import onyxpaddle.distribution.SnapshotFile.FellBack;
-import onyxpaddle.distribution.SnapshotFile.Found;
-import onyxpaddle.distribution.SnapshotFile.Sound;
-import onyxpaddle.distribution.SnapshotFile.Torn;
+import onyxpaddle.distribution.SnapshotFile.Fallback;
+import onyxpaddle.distribution.SnapshotFile.ReadResult;
+import onyxpaddle.distribution.SnapshotFile.Intact;
+import onyxpaddle.distribution.SnapshotFile.Corrupt;
 import onyxpaddle.distribution.UpdateJson;
 
 /** A control process's state on disk: its table, and the highest epoch that it has seen. One thread at a time; waits for the disk. */
@@ -34,8 +34,8 @@
     }
 
     Loaded load() {
-        Found table = tables.read();
-        Found epoch = epochs.read();
+        ReadResult table = tables.read();
+        ReadResult epoch = epochs.read();
         String damage = damage(table) != null ? damage(table) : damage(epoch);
         try {
             byte[] text = bytes(epoch);
@@ -49,23 +49,23 @@
         return bytes == null ? ConfigurationTable.EMPTY : ConfigurationTable.EMPTY.apply(UpdateJson.read(bytes)).table();
     }
 
-    private static byte[] bytes(Found found) {
-        return found instanceof Sound sound ? sound.bytes() : found instanceof FellBack back ? back.bytes() : null;
+    private static byte[] bytes(ReadResult found) {
+        return found instanceof Intact sound ? sound.bytes() : found instanceof Fallback back ? back.bytes() : null;
     }
 
-    private static String damage(Found found) {
-        return found instanceof FellBack back ? back.damage() : found instanceof Torn torn ? torn.damage() : null;
+    private static String damage(ReadResult found) {
+        return found instanceof Fallback back ? back.damage() : found instanceof Corrupt torn ? torn.damage() : null;
     }
 
-    /** The bytes of a table as they are kept; more than {@link UpdateJson#MOST_BYTES} can't be read again. */
+    /** The bytes of a table as they are kept; more than {@link UpdateJson#MAX_BYTES} can't be read again. */
     static byte[] encoded(ConfigurationTable table) {
-        return UpdateJson.write(table.whole(Interest.ALL, 0));
+        return UpdateJson.write(table.fullUpdate(Subscription.ALL, 0));
     }
 
     void write(ConfigurationTable table) throws IOException {
         byte[] bytes = encoded(table);
-        if (bytes.length > UpdateJson.MOST_BYTES) {
-            throw new IOException("the configuration has " + bytes.length + " bytes; at most " + UpdateJson.MOST_BYTES + " are kept");
+        if (bytes.length > UpdateJson.MAX_BYTES) {
+            throw new IOException("the configuration has " + bytes.length + " bytes; at most " + UpdateJson.MAX_BYTES + " are kept");
         }
         tables.write(bytes);
     }
--- a/src/main/java/onyxpaddle/control/StatusJson.java
+++ b/src/main/java/onyxpaddle/control/StatusJson.java
@@ -14,7 +14,7 @@
 /** A control process's status as JSON. */
 public final class StatusJson {
     /** 16,384 nodes, each with a fault of 300 characters, most of them escaped. */
-    public static final int MOST_BYTES = 32 << 20;
+    public static final int MAX_BYTES = 32 << 20;
     private static final JsonFactory JSON = new JsonFactory();
 
     private StatusJson() {
--- a/src/main/java/onyxpaddle/control/TakeOver.java
+++ b/src/main/java/onyxpaddle/control/TakeOver.java
@@ -7,7 +7,7 @@
 import onyxpaddle.distribution.ConfigurationTable;
 import onyxpaddle.distribution.ConfigurationVersion;
 import onyxpaddle.distribution.Update;
-import onyxpaddle.distribution.UpdateAssembly;
+import onyxpaddle.distribution.UpdateAssembler;
 import onyxpaddle.distribution.UpdateJson;
 
 /** Copies the state of another control process, before a publisher of a new epoch begins. */
@@ -44,10 +44,10 @@
     }
 
     private ConfigurationTable copy(HostPort at) throws IOException, InterruptedException {
-        UpdateAssembly assembly = new UpdateAssembly();
+        UpdateAssembler assembly = new UpdateAssembler();
         ConfigurationVersion after = ConfigurationVersion.NONE;
         for (int i = 0; i < MOST_CALLS; i++) {
-            Response response = call(at, after, assembly.wholeOf());
+            Response response = call(at, after, assembly.firstPageVersion());
             if (response.status() == Answer.BUSY) {
                 Thread.sleep(Duration.ofSeconds(Math.max(1, Math.min(WITHIN.toSeconds(), response.retryAfterSeconds()))).toMillis());
                 continue;
@@ -69,6 +69,6 @@
             throws IOException, InterruptedException {
         String page = pageOf.equals(ConfigurationVersion.NONE) ? "" : "&page_of=" + pageOf;
         return client.get(at, "/v1/configuration?scope=all&replica=" + settings.id() + "&epoch=" + after.epoch()
-            + "&after=" + after.number() + page, WITHIN, UpdateJson.MOST_BYTES);
+            + "&after=" + after.number() + page, WITHIN, UpdateJson.MAX_BYTES);
     }
 }
--- a/src/main/java/onyxpaddle/distribution/ConfigurationOverlay.java
+++ b/src/main/java/onyxpaddle/distribution/ConfigurationOverlay.java
@@ -39,12 +39,12 @@
      * @param entries at most one for a key, in any order, without removed ones
      * @param faults where an entry can't be laid over, such as one whose text is not YAML; it is left out of the result then
      */
-    public static Value lay(Value base, List<Entry> entries, Faults faults) {
+    public static Value apply(Value base, List<Entry> entries, Faults faults) {
         if (!(base instanceof Mapping mapping)) {
             return base;
         }
         ConfigurationOverlay overlay = new ConfigurationOverlay(mapping, faults);
-        entries.stream().filter(entry -> !entry.removed()).sorted(Comparator.comparing(Entry::key)).forEach(overlay::lay);
+        entries.stream().filter(entry -> !entry.removed()).sorted(Comparator.comparing(Entry::key)).forEach(overlay::apply);
         return new Mapping(mapping.place(), mapping.path(), overlay.values, overlay.keys);
     }
 
@@ -52,15 +52,15 @@
      * Faults of a tree with entries laid over it, those first that stand in an entry: a fault in the node's own file, such as a
      * pool that no route leads to, is often but what follows from one.
      */
-    public static List<Fault> entriesFirst(List<Entry> entries, List<Fault> faults) {
+    public static List<Fault> entryFaultsFirst(List<Entry> entries, List<Fault> faults) {
         Set<String> laid = entries.stream().map(entry -> entry.key().toString()).collect(Collectors.toSet());
         return faults.stream().sorted(Comparator.comparing(fault -> !laid.contains(fault.place().file()))).toList();
     }
 
-    private void lay(Entry entry) {
+    private void apply(Entry entry) {
         EntryKey key = entry.key();
         Place place = new Place(key.toString(), 1, 1);
-        if (EntryKey.NODES_OWN.contains(key.topKey())) {
+        if (EntryKey.NODE_LOCAL_KEYS.contains(key.topKey())) {
             faults.add(place, key.path(), "`" + key.topKey() + "` is each node's own", "set it in the node's file");
             return;
         }
--- a/src/main/java/onyxpaddle/distribution/ConfigurationTable.java
+++ b/src/main/java/onyxpaddle/distribution/ConfigurationTable.java
@@ -36,7 +36,7 @@
     }
 
     /** An outcome with the table that holds after it. */
-    public record Applied(Outcome outcome, ConfigurationTable table) {
+    public record ApplyResult(Outcome outcome, ConfigurationTable table) {
     }
 
     /** A new value for an entry; null removes it. */
@@ -108,21 +108,21 @@
         return sections.getOrDefault(Group.of(key), Section.EMPTY).entries().get(key.path());
     }
 
-    /** The entries that an interest has, without removed ones, in the order of their keys. */
-    public List<Entry> entries(Interest interest) {
-        return all(interest).filter(entry -> !entry.removed()).sorted(Comparator.comparing(Entry::key)).toList();
+    /** The entries that an subscription has, without removed ones, in the order of their keys. */
+    public List<Entry> entries(Subscription subscription) {
+        return all(subscription).filter(entry -> !entry.removed()).sorted(Comparator.comparing(Entry::key)).toList();
     }
 
-    /** Whether something that concerns the interest has changed since a version that this table goes back to. */
-    public boolean hasNews(ConfigurationVersion after, Interest interest) {
-        if (interest.all()) {
+    /** Whether something that matches the subscription has changed since a version that this table goes back to. */
+    public boolean hasChangesSince(ConfigurationVersion after, Subscription subscription) {
+        if (subscription.all()) {
             return version.isAfter(after);
         }
-        return of(interest).anyMatch(section -> section.newest().isAfter(after));
+        return of(subscription).anyMatch(section -> section.newest().isAfter(after));
     }
 
     /** Whether a difference after that version can be told; if not, a whole has to be. */
-    public boolean reaches(ConfigurationVersion after) {
+    public boolean hasHistorySince(ConfigurationVersion after) {
         return after.epoch() > 0 && !history.floor().isAfter(after) && history.reaches(version, after);
     }
 
@@ -132,24 +132,24 @@
      *
      * @param staleMs as in {@link Update}
      */
-    public Update difference(ConfigurationVersion after, Interest interest, long staleMs) {
-        History told = interest.all() ? history : null;
+    public Update deltaSince(ConfigurationVersion after, Subscription subscription, long staleMs) {
+        History told = subscription.all() ? history : null;
         if (after.epoch() > 0 && !version.isAfter(after)) {
             return new Update(version, false, false, List.of(), staleMs, told);
         }
-        if (!reaches(after)) {
-            return whole(interest, staleMs);
+        if (!hasHistorySince(after)) {
+            return fullUpdate(subscription, staleMs);
         }
-        List<Entry> entries = of(interest).filter(section -> section.newest().isAfter(after))
+        List<Entry> entries = of(subscription).filter(section -> section.newest().isAfter(after))
             .flatMap(section -> section.entries().values().stream())
             .filter(entry -> entry.changedAt().isAfter(after)).sorted(BY_CHANGE).toList();
         return new Update(version, false, false, entries, staleMs, told);
     }
 
-    /** All that concerns an interest; for replicas with the removed entries, so that they can tell differences too. */
-    public Update whole(Interest interest, long staleMs) {
-        List<Entry> entries = all(interest).filter(entry -> interest.all() || !entry.removed()).sorted(BY_CHANGE).toList();
-        return new Update(version, true, false, entries, staleMs, interest.all() ? history : null);
+    /** All that matches an subscription; for replicas with the removed entries, so that they can tell differences too. */
+    public Update fullUpdate(Subscription subscription, long staleMs) {
+        List<Entry> entries = all(subscription).filter(entry -> subscription.all() || !entry.removed()).sorted(BY_CHANGE).toList();
+        return new Update(version, true, false, entries, staleMs, subscription.all() ? history : null);
     }
 
     /**
@@ -159,13 +159,13 @@
      * @param pageOf the version of the whole's first page
      * @return a whole that begins anew, where removals since {@code pageOf} can't be told any more
      */
-    public Update restOfWhole(ConfigurationVersion after, ConfigurationVersion pageOf, Interest interest, long staleMs) {
-        if (!reaches(pageOf)) {
-            return whole(interest, staleMs);
+    public Update remainingFullUpdate(ConfigurationVersion after, ConfigurationVersion pageOf, Subscription subscription, long staleMs) {
+        if (!hasHistorySince(pageOf)) {
+            return fullUpdate(subscription, staleMs);
         }
-        List<Entry> entries = all(interest).filter(entry -> entry.changedAt().isAfter(after))
-            .filter(entry -> interest.all() || !entry.removed() || entry.changedAt().isAfter(pageOf)).sorted(BY_CHANGE).toList();
-        return new Update(version, false, false, entries, staleMs, interest.all() ? history : null);
+        List<Entry> entries = all(subscription).filter(entry -> entry.changedAt().isAfter(after))
+            .filter(entry -> subscription.all() || !entry.removed() || entry.changedAt().isAfter(pageOf)).sorted(BY_CHANGE).toList();
+        return new Update(version, false, false, entries, staleMs, subscription.all() ? history : null);
     }
 
     /**
@@ -173,7 +173,7 @@
      *
      * @param epoch the publisher's, not below this table's
      */
-    public ConfigurationTable changed(long epoch, Collection<Change> changes) {
+    public ConfigurationTable withChanges(long epoch, Collection<Change> changes) {
         if (epoch < version.epoch()) {
             throw new IllegalArgumentException("epoch " + epoch + " is below that of " + version);
         }
@@ -183,22 +183,22 @@
     }
 
     /** The table of a publisher's first start: version {@code epoch.0}, without entries. */
-    public static ConfigurationTable first(long epoch) {
+    public static ConfigurationTable initial(long epoch) {
         return EMPTY.next(new ConfigurationVersion(epoch, 0), History.EMPTY, Map.of(), 0, List.of());
     }
 
     /** Takes what a control process told; never goes backwards. */
-    public Applied apply(Update update) {
+    public ApplyResult apply(Update update) {
         if (version.isAfter(update.version())) {
-            return new Applied(Outcome.BEHIND, this);
+            return new ApplyResult(Outcome.BEHIND, this);
         }
         if (version.equals(update.version())) {
-            return new Applied(Outcome.UNCHANGED, this);
+            return new ApplyResult(Outcome.UNCHANGED, this);
         }
-        if (update.more() || !update.whole() && isGap(update)) {
-            return new Applied(Outcome.GAP, this);
+        if (update.more() || !update.full() && isGap(update)) {
+            return new ApplyResult(Outcome.GAP, this);
         }
-        return new Applied(Outcome.APPLIED, update.whole() ? replaced(update) : moved(update));
+        return new ApplyResult(Outcome.APPLIED, update.full() ? replaced(update) : moved(update));
     }
 
     private boolean isGap(Update update) {
@@ -242,22 +242,22 @@
 
     /** Drops the older half of the removed entries, so that this is rare. */
     private ConfigurationTable trimmed() {
-        List<Entry> oldest = all(Interest.ALL).filter(Entry::removed).sorted(BY_CHANGE).limit(tombstones - mostTombstones / 2).toList();
+        List<Entry> oldest = all(Subscription.ALL).filter(Entry::removed).sorted(BY_CHANGE).limit(tombstones - mostTombstones / 2).toList();
         Map<Group, Section> next = new HashMap<>(sections);
         oldest.forEach(entry -> next.computeIfPresent(Group.of(entry.key()), (group, section) -> section.without(entry.key())));
         History past = new History(oldest.get(oldest.size() - 1).changedAt(), history.ends());
         return new ConfigurationTable(version, past, next, tombstones - oldest.size(), mostTombstones);
     }
 
-    private Stream<Section> of(Interest interest) {
-        if (interest.all()) {
+    private Stream<Section> of(Subscription subscription) {
+        if (subscription.all()) {
             return sections.values().stream();
         }
-        return Stream.of(Group.FLEET, new Group(Scope.SERVICE, interest.service()), new Group(Scope.NODE, interest.node()))
+        return Stream.of(Group.FLEET, new Group(Scope.SERVICE, subscription.service()), new Group(Scope.NODE, subscription.node()))
             .map(sections::get).filter(section -> section != null);
     }
 
-    private Stream<Entry> all(Interest interest) {
-        return of(interest).flatMap(section -> section.entries().values().stream());
+    private Stream<Entry> all(Subscription subscription) {
+        return of(subscription).flatMap(section -> section.entries().values().stream());
     }
 }
--- a/src/main/java/onyxpaddle/distribution/ConfigurationVersion.java
+++ b/src/main/java/onyxpaddle/distribution/ConfigurationVersion.java
@@ -8,12 +8,12 @@
  * Which state of the configuration something holds: the epoch of the publisher that made it, and its number. Numbers go on
  * rising over epochs, so that epoch 2 begins at the number after the last one that its publisher took over.
  *
- * @param epoch 0 for {@link #NONE} only, at most {@link #MOST}
- * @param number from 0 to {@link #MOST}
+ * @param epoch 0 for {@link #NONE} only, at most {@link #MAX}
+ * @param number from 0 to {@link #MAX}
  */
 public record ConfigurationVersion(long epoch, long number) implements Comparable<ConfigurationVersion> {
     /** The largest epoch and number: 15 digits, which JSON readers of all languages hold exactly. */
-    public static final long MOST = 999_999_999_999_999L;
+    public static final long MAX = 999_999_999_999_999L;
     /** Before the first version: nothing is known. */
     public static final ConfigurationVersion NONE = new ConfigurationVersion(0, 0);
 
@@ -23,7 +23,7 @@
 
     /** @throws IllegalArgumentException for what is out of bounds, or a number without an epoch */
     public ConfigurationVersion {
-        boolean within = epoch >= 0 && epoch <= MOST && number >= 0 && number <= MOST;
+        boolean within = epoch >= 0 && epoch <= MAX && number >= 0 && number <= MAX;
         if (!within || epoch == 0 && number != 0) {
             throw new IllegalArgumentException("no version: epoch " + epoch + ", number " + number);
         }
--- a/src/main/java/onyxpaddle/distribution/ConfigurationWatch.java
+++ b/src/main/java/onyxpaddle/distribution/ConfigurationWatch.java
@@ -37,15 +37,15 @@
     private static final int LONGEST_REASON = 200;
 
     /** Holds what the watch brings. Asked and told on the event loop, so nothing of it may block. */
-    public interface Holder {
+    public interface Receiver {
         /** The version up to which updates were taken; {@code NONE} before the first. */
-        ConfigurationVersion held();
+        ConfigurationVersion currentVersion();
 
         /** Takes an update, without {@code more}, and says what it did. */
-        ConfigurationTable.Outcome take(Update update);
+        ConfigurationTable.Outcome receive(Update update);
 
         /** Further parameters for the next call, each with {@code &} before it; empty for none. */
-        String report();
+        String reportParameters();
     }
 
     private final EventLoop loop;
@@ -53,11 +53,11 @@
     private final List<InetSocketAddress> replicas;
     private final ReplicaSelector selector;
     private final String identity;
-    private final Holder holder;
+    private final Receiver receiver;
     private final WatchClient[] connections;
     /** Replicas of which it was said that they are behind, since they last were not. */
     private final boolean[] toldBehind;
-    private final UpdateAssembly assembly = new UpdateAssembly();
+    private final UpdateAssembler assembly = new UpdateAssembler();
     private ConfigurationVersion lastPage = ConfigurationVersion.NONE;
     /** What is held can't be gone on from: the next call asks for a whole. */
     private boolean asksForWhole;
@@ -68,24 +68,24 @@
     private boolean stopped;
 
     /**
-     * {@code replicas}: as the selector was told of them, in the same order; {@code identity}: who calls and what is of interest, as
+     * {@code replicas}: as the selector was told of them, in the same order; {@code identity}: who calls and what is of subscription, as
      * parameters: {@code node=N&service=S} or {@code scope=all&replica=ID}.
      */
     public ConfigurationWatch(EventLoop loop, ByteBufAllocator allocator, List<InetSocketAddress> replicas, ReplicaSelector selector,
-            String identity, Holder holder) {
+            String identity, Receiver receiver) {
         this.loop = loop;
         this.allocator = allocator;
         this.replicas = List.copyOf(replicas);
         this.selector = selector;
         this.identity = identity;
-        this.holder = holder;
+        this.receiver = receiver;
         connections = new WatchClient[replicas.size()];
         toldBehind = new boolean[replicas.size()];
     }
 
     /** Makes the first call. */
     public void start() {
-        loop.execute(() -> follow(selector.first()));
+        loop.execute(() -> follow(selector.firstCall()));
     }
 
     /** Ends it for good: no call is made, and no answer taken, after the loop has come to this. */
@@ -143,20 +143,20 @@
 
     private WatchClient connection(int replica) {
         if (connections[replica] == null) {
-            connections[replica] = new WatchClient(loop, allocator, replicas.get(replica), UpdateJson.MOST_BYTES, new Ends(replica));
+            connections[replica] = new WatchClient(loop, allocator, replicas.get(replica), UpdateJson.MAX_BYTES, new Ends(replica));
         }
         return connections[replica];
     }
 
     private String uri() {
-        ConfigurationVersion after = asksForWhole ? ConfigurationVersion.NONE : holder.held();
+        ConfigurationVersion after = asksForWhole ? ConfigurationVersion.NONE : receiver.currentVersion();
         String page = "";
-        if (assembly.begun()) {
+        if (assembly.inProgress()) {
             after = lastPage;
-            page = assembly.wholeOf().equals(ConfigurationVersion.NONE) ? "" : "&page_of=" + assembly.wholeOf();
+            page = assembly.firstPageVersion().equals(ConfigurationVersion.NONE) ? "" : "&page_of=" + assembly.firstPageVersion();
         }
         return "/v1/configuration?" + identity + "&epoch=" + after.epoch() + "&after=" + after.number() + page + "&wait_ms="
-            + call.waitMs() + holder.report();
+            + call.waitMs() + receiver.reportParameters();
     }
 
     // ---- how calls end ----
@@ -212,7 +212,7 @@
             end(new Failed(), "answered what is no update: " + e.getMessage());
             return;
         }
-        if (holder.held().isAfter(page.version())) {
+        if (receiver.currentVersion().isAfter(page.version())) {
             behind(page.version());
             return;
         }
@@ -237,11 +237,11 @@
 
     /** Whether the page after this one will be another one. */
     private boolean goesOn(Update page) {
-        return !page.entries().isEmpty() && (page.whole() || !assembly.begun() || page.lastChange().isAfter(lastPage));
+        return !page.entries().isEmpty() && (page.full() || !assembly.inProgress() || page.lastChange().isAfter(lastPage));
     }
 
     private void take(Update update) {
-        switch (holder.take(update)) {
+        switch (receiver.receive(update)) {
             case APPLIED, UNCHANGED -> {
                 asksForWhole = false;
                 end(new Answered(update.staleMs(), false), null);
@@ -258,7 +258,7 @@
     private void behind(ConfigurationVersion version) {
         if (!toldBehind[call.replica()]) {
             toldBehind[call.replica()] = true;
-            Log.line("configuration: " + name(call.replica()) + " is at " + version + ", older than " + holder.held()
+            Log.line("configuration: " + name(call.replica()) + " is at " + version + ", older than " + receiver.currentVersion()
                 + ", which is held on to");
         }
         end(new Behind(), null);
@@ -279,7 +279,7 @@
         }
         toldBehind[replica] &= !sound;
         long now = System.nanoTime();
-        Call next = selector.next(now, outcome);
+        Call next = selector.nextCall(now, outcome);
         failures = selector.failures();
         follow(outcome instanceof Answered answered && !answered.more() && !next.probe() ? spaced(now, next) : next);
     }
--- a/src/main/java/onyxpaddle/distribution/Entry.java
+++ b/src/main/java/onyxpaddle/distribution/Entry.java
@@ -10,13 +10,13 @@
  */
 public record Entry(EntryKey key, String value, ConfigurationVersion changedAt) {
     /** The most characters of a value. */
-    public static final int LONGEST_VALUE = 1 << 20;
+    public static final int MAX_VALUE_LENGTH = 1 << 20;
 
     public Entry {
         Objects.requireNonNull(key, "key");
         Objects.requireNonNull(changedAt, "changedAt");
-        if (value != null && value.length() > LONGEST_VALUE) {
-            throw new IllegalArgumentException(key + ": a value of more than " + LONGEST_VALUE + " characters");
+        if (value != null && value.length() > MAX_VALUE_LENGTH) {
+            throw new IllegalArgumentException(key + ": a value of more than " + MAX_VALUE_LENGTH + " characters");
         }
     }
 
--- a/src/main/java/onyxpaddle/distribution/EntryKey.java
+++ b/src/main/java/onyxpaddle/distribution/EntryKey.java
@@ -14,7 +14,7 @@
  */
 public record EntryKey(Scope scope, String owner, String path) implements Comparable<EntryKey> {
     /** Keys at the top that each node has for itself: what it is, what its machine has, and where it is reached. */
-    public static final Set<String> NODES_OWN = Set.of("version", "name", "limits", "admin", "handover");
+    public static final Set<String> NODE_LOCAL_KEYS = Set.of("version", "name", "limits", "admin", "handover");
 
     /** The longest text of a key: the scope's word, two names of 63 characters, and a path of two. */
     static final int LONGEST = 256;
--- a/src/main/java/onyxpaddle/distribution/WholeAnswerPacer.java
+++ b/src/main/java/onyxpaddle/distribution/FullUpdatePacer.java
@@ -12,7 +12,7 @@
  * <p>Over any time t at most rate × (t + burst + grace) bytes and one answer are admitted, as turns that were not used in time
  * are used together at worst. Not for several threads.
  */
-public final class WholeAnswerPacer {
+public final class FullUpdatePacer {
     /** How late a caller may come to its turn: Retry-After has whole seconds, and callers draw up to one more on top of it. */
     public static final long GRACE_NANOS = 3_000_000_000L;
     /** The bucket's depth, as time at the rate. */
@@ -23,7 +23,7 @@
     private static final double NANOS = 1e9;
 
     /** Whether an answer goes now. */
-    public sealed interface Decision permits Admitted, Later {
+    public sealed interface Decision permits Admitted, Deferred {
     }
 
     /** It goes now. */
@@ -31,7 +31,7 @@
     }
 
     /** It is to be asked for again after this time. */
-    public record Later(long waitNanos) implements Decision {
+    public record Deferred(long waitNanos) implements Decision {
     }
 
     private record Turn(String caller, long at) {
@@ -45,7 +45,7 @@
     private boolean begun;
 
     /** @param bytesPerSecond above 0 */
-    public WholeAnswerPacer(long bytesPerSecond) {
+    public FullUpdatePacer(long bytesPerSecond) {
         if (bytesPerSecond <= 0) {
             throw new IllegalArgumentException("a rate of " + bytesPerSecond + " bytes/s");
         }
@@ -58,7 +58,7 @@
      * @param caller who asks: has one turn at a time
      * @param now in nanoseconds, of a clock that does not go back
      */
-    public Decision ask(String caller, long bytes, long now) {
+    public Decision request(String caller, long bytes, long now) {
         forgetMissed(now);
         if (!begun) {
             begun = true;
@@ -67,7 +67,7 @@
         Turn turn = turns.get(caller);
         if (turn != null) {
             if (turn.at() > now) {
-                return new Later(turn.at() - now);
+                return new Deferred(turn.at() - now);
             }
             remove(turn);
             return new Admitted();
@@ -84,7 +84,7 @@
             turns.put(caller, reserved);
             byTime.add(reserved);
         }
-        return new Later(from - BURST_NANOS - now);
+        return new Deferred(from - BURST_NANOS - now);
     }
 
     /** How many turns are reserved. */
--- a/src/main/java/onyxpaddle/distribution/JsonFields.java
+++ b/src/main/java/onyxpaddle/distribution/JsonFields.java
@@ -23,7 +23,7 @@
         try {
             return ConfigurationVersion.parse(text());
         } catch (IllegalArgumentException e) {
-            throw wrong(e.getMessage());
+            throw malformed(e.getMessage());
         }
     }
 
@@ -31,7 +31,7 @@
         try {
             return EntryKey.parse(text());
         } catch (IllegalArgumentException e) {
-            throw wrong(e.getMessage());
+            throw malformed(e.getMessage());
         }
     }
 
@@ -48,12 +48,12 @@
     /** Fails unless the parser stands on this token; {@code told}: what a person would call it. */
     public void expect(JsonToken token, String told) throws MalformedUpdateException {
         if (parser.currentToken() != token) {
-            throw wrong("expected " + told);
+            throw malformed("expected " + told);
         }
     }
 
     /** An error where the parser stands. */
-    public MalformedUpdateException wrong(String wrong) {
+    public MalformedUpdateException malformed(String wrong) {
         return new MalformedUpdateException(place(parser.currentLocation()) + wrong);
     }
 
--- a/src/main/java/onyxpaddle/distribution/PublisherFence.java
+++ b/src/main/java/onyxpaddle/distribution/PublisherFence.java
@@ -1,12 +1,12 @@
 package onyxpaddle.distribution;
 
 /**
- * Keeps the highest epoch that a control process has seen, its own among them. A publisher is fenced for good once it has seen
+ * Keeps the highestEpoch epoch that a control process has seen, its own among them. A publisher is fenced for good once it has seen
  * a higher one than its own. Not for several threads.
  */
 public final class PublisherFence {
     private final long ownEpoch;
-    private long highest;
+    private long highestEpoch;
 
     /**
      * @param ownEpoch a publisher's epoch; 0 for a replica, which has none and is never fenced
@@ -14,7 +14,7 @@
      */
     public PublisherFence(long ownEpoch, long highestSeen) {
         this.ownEpoch = ownEpoch;
-        this.highest = Math.max(ownEpoch, highestSeen);
+        this.highestEpoch = Math.max(ownEpoch, highestSeen);
     }
 
     /**
@@ -22,20 +22,20 @@
      *
      * @return whether it is a higher one than all before, and so has to be kept on disk
      */
-    public boolean hear(long epoch) {
-        if (epoch <= highest) {
+    public boolean observe(long epoch) {
+        if (epoch <= highestEpoch) {
             return false;
         }
-        highest = epoch;
+        highestEpoch = epoch;
         return true;
     }
 
     /** Whether a publisher must take no more changes and tell nothing new. */
     public boolean fenced() {
-        return ownEpoch > 0 && highest > ownEpoch;
+        return ownEpoch > 0 && highestEpoch > ownEpoch;
     }
 
-    public long highest() {
-        return highest;
+    public long highestEpoch() {
+        return highestEpoch;
     }
 }
--- a/src/main/java/onyxpaddle/distribution/ReplicaSelector.java
+++ b/src/main/java/onyxpaddle/distribution/ReplicaSelector.java
@@ -120,12 +120,12 @@
     }
 
     /** The first call after a start. It does not wait: until it is answered the client does not know whether what it holds is old. */
-    public Call first() {
+    public Call firstCall() {
         return call(0, 0, 0, false);
     }
 
     /** The call that follows one that ended in this way at this time. */
-    public Call next(long now, Outcome outcome) {
+    public Call nextCall(long now, Outcome outcome) {
         if (outcome instanceof Answered answered) {
             return answered(now, answered);
         }
--- a/src/main/java/onyxpaddle/distribution/SnapshotFile.java
+++ b/src/main/java/onyxpaddle/distribution/SnapshotFile.java
@@ -21,30 +21,30 @@
  */
 public final class SnapshotFile {
     /** The most bytes of a state: four of the largest updates. */
-    public static final int MOST_BYTES = 4 * UpdateJson.MOST_BYTES;
+    public static final int MAX_BYTES = 4 * UpdateJson.MAX_BYTES;
 
     private static final byte[] MAGIC = "lupsnap1".getBytes(StandardCharsets.US_ASCII);
     private static final int CHECKED = Long.BYTES + Integer.BYTES;
     private static final int HEADER = MAGIC.length + CHECKED + Integer.BYTES;
 
     /** What a read found. */
-    public sealed interface Found permits Sound, FellBack, Torn, Missing {
+    public sealed interface ReadResult permits Intact, Fallback, Corrupt, Missing {
     }
 
     /** The newest state that was written. */
-    public record Sound(byte[] bytes) implements Found {
+    public record Intact(byte[] bytes) implements ReadResult {
     }
 
     /** A sound state, beside a damaged file that may have held a newer one. */
-    public record FellBack(byte[] bytes, String damage) implements Found {
+    public record Fallback(byte[] bytes, String damage) implements ReadResult {
     }
 
     /** There was a state; none can be read. */
-    public record Torn(String damage) implements Found {
+    public record Corrupt(String damage) implements ReadResult {
     }
 
     /** No state was ever written here. */
-    public record Missing() implements Found {
+    public record Missing() implements ReadResult {
     }
 
     /** One of the two files as read: sound with its generation, or not with the reason; absent: neither. */
@@ -72,22 +72,22 @@
     }
 
     /** The newest sound state. Reads both files. */
-    public Found read() {
+    public ReadResult read() {
         Slot first = slot(0);
         Slot second = slot(1);
         Slot newer = first.generation() >= second.generation() ? first : second;
         Slot older = newer == first ? second : first;
         if (!newer.sound()) {
             return first.absent() && second.absent() ? new Missing()
-                : new Torn(String.join("; ", damage(first, 0), damage(second, 1)));
+                : new Corrupt(String.join("; ", damage(first, 0), damage(second, 1)));
         }
         generation = newer.generation();
         // A first write that a crash broke off leaves one file; else there are two, and only damage takes one away.
         if (older.sound() || generation == 1 && older.absent()) {
-            return new Sound(newer.bytes());
+            return new Intact(newer.bytes());
         }
         // The next write replaces the damaged file, which may have been the newer one.
-        return new FellBack(newer.bytes(), damage(older, newer == first ? 1 : 0));
+        return new Fallback(newer.bytes(), damage(older, newer == first ? 1 : 0));
     }
 
     private String damage(Slot slot, int index) {
@@ -101,7 +101,7 @@
                 return new Slot(-1, null, null);
             }
             long size = Files.size(file);
-            if (!Files.isRegularFile(file) || size < HEADER || size > HEADER + MOST_BYTES) {
+            if (!Files.isRegularFile(file) || size < HEADER || size > HEADER + MAX_BYTES) {
                 return new Slot(-1, null, file + ": of " + size + " bytes is no snapshot");
             }
             return decoded(file, ByteBuffer.wrap(Files.readAllBytes(file)));
@@ -145,8 +145,8 @@
     }
 
     private void writeNext(byte[] content) throws IOException {
-        if (content.length > MOST_BYTES) {
-            throw new IOException("a state of " + content.length + " bytes; at most " + MOST_BYTES + " are kept");
+        if (content.length > MAX_BYTES) {
+            throw new IOException("a state of " + content.length + " bytes; at most " + MAX_BYTES + " are kept");
         }
         Files.createDirectories(folder);
         Path temporary = folder.resolve(name + ".tmp");
--- a/src/main/java/onyxpaddle/distribution/Interest.java
+++ b/src/main/java/onyxpaddle/distribution/Subscription.java
@@ -6,12 +6,12 @@
  * @param node null for all
  * @param service empty where the node stands beside none
  */
-public record Interest(String node, String service) {
+public record Subscription(String node, String service) {
     /** Everything, as replicas ask for it. */
-    public static final Interest ALL = new Interest(null, "");
+    public static final Subscription ALL = new Subscription(null, "");
 
     /** @throws IllegalArgumentException where a name does not have its form */
-    public Interest {
+    public Subscription {
         if (node != null && !EntryKey.isName(node)) {
             throw new IllegalArgumentException("`" + Shortened.of(node) + "` is no name of a node");
         }
@@ -25,7 +25,7 @@
     }
 
     /** Whether an entry of this key is told. */
-    public boolean concerns(EntryKey key) {
+    public boolean matches(EntryKey key) {
         return all() || switch (key.scope()) {
             case FLEET -> true;
             case SERVICE -> key.owner().equals(service);
--- a/src/main/java/onyxpaddle/distribution/UpdateAssembly.java
+++ b/src/main/java/onyxpaddle/distribution/UpdateAssembler.java
@@ -4,11 +4,11 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** Puts the pages of one update together. Holds at most {@link UpdateJson#MOST_ENTRIES} entries. */
-public final class UpdateAssembly {
+/** Puts the pages of one update together. Holds at most {@link UpdateJson#MAX_ENTRIES} entries. */
+public final class UpdateAssembler {
     private final Map<EntryKey, Entry> entries = new LinkedHashMap<>();
     private boolean whole;
-    private ConfigurationVersion wholeOf = ConfigurationVersion.NONE;
+    private ConfigurationVersion firstPageVersion = ConfigurationVersion.NONE;
 
     /**
      * Takes the next page.
@@ -17,17 +17,17 @@
      * @throws IllegalStateException for more entries than are held; the assembly is empty then
      */
     public Update add(Update page) {
-        if (page.whole()) {
+        if (page.full()) {
             clear();
             whole = true;
-            wholeOf = page.version();
+            firstPageVersion = page.version();
         }
         for (Entry entry : page.entries()) {
             entries.put(entry.key(), entry);
         }
-        if (entries.size() > UpdateJson.MOST_ENTRIES) {
+        if (entries.size() > UpdateJson.MAX_ENTRIES) {
             clear();
-            throw new IllegalStateException("more than " + UpdateJson.MOST_ENTRIES + " entries in one update");
+            throw new IllegalStateException("more than " + UpdateJson.MAX_ENTRIES + " entries in one update");
         }
         if (page.more()) {
             return null;
@@ -38,19 +38,19 @@
     }
 
     /** Whether pages are held that await more. */
-    public boolean begun() {
+    public boolean inProgress() {
         return whole || !entries.isEmpty();
     }
 
     /** Of a whole in pages: the version of its first page, to be named as {@code page_of}; {@code NONE} for a difference. */
-    public ConfigurationVersion wholeOf() {
-        return wholeOf;
+    public ConfigurationVersion firstPageVersion() {
+        return firstPageVersion;
     }
 
     /** Forgets the pages so far. */
     public void clear() {
         entries.clear();
         whole = false;
-        wholeOf = ConfigurationVersion.NONE;
+        firstPageVersion = ConfigurationVersion.NONE;
     }
 }
--- a/src/main/java/onyxpaddle/distribution/UpdateJson.java
+++ b/src/main/java/onyxpaddle/distribution/UpdateJson.java
@@ -25,9 +25,9 @@
  */
 public final class UpdateJson {
     /** The most bytes of an update: 10,000 sections of 1.6 KB. */
-    public static final int MOST_BYTES = 16 << 20;
+    public static final int MAX_BYTES = 16 << 20;
     /** The most entries of an update. */
-    public static final int MOST_ENTRIES = 65_536;
+    public static final int MAX_ENTRIES = 65_536;
 
     /** No part of an update lies deeper; the rest is room for later ones. */
     private static final int DEEPEST = 16;
@@ -37,19 +37,19 @@
     private static final JsonFactory JSON = JsonFactory.builder()
         .enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION)
         .streamReadConstraints(StreamReadConstraints.builder().maxNestingDepth(DEEPEST).maxNameLength(LONGEST_NAME)
-            .maxStringLength(Entry.LONGEST_VALUE).build())
+            .maxStringLength(Entry.MAX_VALUE_LENGTH).build())
         .build();
 
     private UpdateJson() {
     }
 
-    /** The bytes of an update; may be more than {@link #MOST_BYTES}: who writes bounds what it puts in. */
+    /** The bytes of an update; may be more than {@link #MAX_BYTES}: who writes bounds what it puts in. */
     public static byte[] write(Update update) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (JsonGenerator json = JSON.createGenerator(bytes)) {
             json.writeStartObject();
             json.writeStringField("version", update.version().toString());
-            json.writeBooleanField("whole", update.whole());
+            json.writeBooleanField("whole", update.full());
             json.writeBooleanField("more", update.more());
             json.writeNumberField("stale_ms", update.staleMs());
             json.writeArrayFieldStart("entries");
@@ -88,8 +88,8 @@
 
     /** Reads an update: all of the bytes, or an error. */
     public static Update read(byte[] bytes) throws MalformedUpdateException {
-        if (bytes.length > MOST_BYTES) {
-            throw new MalformedUpdateException("update: of " + bytes.length + " bytes; at most " + MOST_BYTES + " are taken");
+        if (bytes.length > MAX_BYTES) {
+            throw new MalformedUpdateException("update: of " + bytes.length + " bytes; at most " + MAX_BYTES + " are taken");
         }
         try (JsonParser parser = JSON.createParser(bytes)) {
             JsonFields fields = new JsonFields(parser, "update");
@@ -97,7 +97,7 @@
                 parser.nextToken();
                 Update update = update(parser, fields);
                 if (parser.nextToken() != null) {
-                    throw fields.wrong("more than one document");
+                    throw fields.malformed("more than one document");
                 }
                 return update;
             } catch (JsonProcessingException e) {
@@ -115,7 +115,7 @@
         ConfigurationVersion version = null;
         boolean whole = false;
         boolean more = false;
-        long staleMs = Update.NEVER_HEARD;
+        long staleMs = Update.NO_PUBLISHER_CONTACT;
         List<Entry> entries = null;
         History history = null;
         fields.expect(JsonToken.START_OBJECT, "an object");
@@ -133,11 +133,11 @@
             }
         }
         if (version == null || entries == null) {
-            throw fields.wrong((version == null ? "`version`" : "`entries`") + " is missing");
+            throw fields.malformed((version == null ? "`version`" : "`entries`") + " is missing");
         }
         for (Entry entry : entries) {
             if (entry.changedAt().isAfter(version)) {
-                throw fields.wrong(entry.key() + " changed at " + entry.changedAt() + ", after version " + version);
+                throw fields.malformed(entry.key() + " changed at " + entry.changedAt() + ", after version " + version);
             }
         }
         return new Update(version, whole, more, entries, staleMs, history);
@@ -150,10 +150,10 @@
         while (parser.nextToken() != JsonToken.END_ARRAY) {
             Entry entry = entry(parser, fields);
             if (!keys.add(entry.key())) {
-                throw fields.wrong(entry.key() + " stands twice");
+                throw fields.malformed(entry.key() + " stands twice");
             }
-            if (entries.size() == MOST_ENTRIES) {
-                throw fields.wrong("more than " + MOST_ENTRIES + " entries");
+            if (entries.size() == MAX_ENTRIES) {
+                throw fields.malformed("more than " + MAX_ENTRIES + " entries");
             }
             entries.add(entry);
         }
@@ -180,7 +180,7 @@
             }
         }
         if (key == null || !valued || changedAt == null) {
-            throw fields.wrong((key == null ? "`key`" : valued ? "`changed`" : "`value`") + " is missing");
+            throw fields.malformed((key == null ? "`key`" : valued ? "`changed`" : "`value`") + " is missing");
         }
         return new Entry(key, value, changedAt);
     }
@@ -199,7 +199,7 @@
             }
         }
         if (floor == null) {
-            throw fields.wrong("`floor` is missing");
+            throw fields.malformed("`floor` is missing");
         }
         return new History(floor, ends);
     }
@@ -208,7 +208,7 @@
         fields.expect(JsonToken.START_ARRAY, "a list");
         while (parser.nextToken() != JsonToken.END_ARRAY) {
             if (ends.size() == MOST_ENDS) {
-                throw fields.wrong("more than " + MOST_ENDS + " epochs");
+                throw fields.malformed("more than " + MOST_ENDS + " epochs");
             }
             ends.add(fields.version());
         }
@@ -216,8 +216,8 @@
 
     private static long staleMs(JsonParser parser, JsonFields fields) throws IOException {
         long staleMs = parser.getLongValue();
-        if (staleMs < Update.NEVER_HEARD) {
-            throw fields.wrong(staleMs + " is no age");
+        if (staleMs < Update.NO_PUBLISHER_CONTACT) {
+            throw fields.malformed(staleMs + " is no age");
         }
         return staleMs;
     }
--- a/src/main/java/onyxpaddle/distribution/UpdatePages.java
+++ b/src/main/java/onyxpaddle/distribution/UpdatePager.java
@@ -3,11 +3,11 @@
 import java.util.List;
 
 /** Cuts large updates into pages, at the bounds between versions: a page has all or nothing of what one version changed. */
-public final class UpdatePages {
+public final class UpdatePager {
     /** JSON around an entry: names, quotes, the version. */
     private static final int AROUND = 64;
 
-    private UpdatePages() {
+    private UpdatePager() {
     }
 
     /**
@@ -15,7 +15,7 @@
      *
      * @param mostBytes about how many bytes of JSON a page may have, if no single version has more
      */
-    public static Update first(Update update, long mostBytes) {
+    public static Update firstPage(Update update, long mostBytes) {
         List<Entry> entries = update.entries();
         long bytes = 0;
         int cut = 0;
@@ -23,20 +23,20 @@
             if (i > 0 && !entries.get(i).changedAt().equals(entries.get(i - 1).changedAt())) {
                 cut = i;
             }
-            bytes += size(entries.get(i));
+            bytes += estimatedBytes(entries.get(i));
             if (bytes > mostBytes && cut > 0) {
-                return new Update(update.version(), update.whole(), true, entries.subList(0, cut), update.staleMs(), update.history());
+                return new Update(update.version(), update.full(), true, entries.subList(0, cut), update.staleMs(), update.history());
             }
         }
         return update;
     }
 
     /** About how many bytes of JSON an update has. */
-    public static long size(Update update) {
-        return update.entries().stream().mapToLong(UpdatePages::size).sum() + 2 * AROUND;
+    public static long estimatedBytes(Update update) {
+        return update.entries().stream().mapToLong(UpdatePager::estimatedBytes).sum() + 2 * AROUND;
     }
 
-    private static long size(Entry entry) {
+    private static long estimatedBytes(Entry entry) {
         int value = entry.removed() ? 0 : entry.value().length();
         return AROUND + entry.key().path().length() + entry.key().owner().length() + value;
     }
--- a/src/main/java/onyxpaddle/rpc/CallerConnection.java
+++ b/src/main/java/onyxpaddle/rpc/CallerConnection.java
@@ -18,9 +18,9 @@
 import onyxpaddle.node.Log;
 import onyxpaddle.node.SharedLimit;
 import onyxpaddle.node.RequestCounts;
-import onyxpaddle.rpc.OwnError.Code;
-import onyxpaddle.rpc.RpcCalls.Taken;
-import onyxpaddle.rpc.RpcCounts.Dropped;
+import onyxpaddle.rpc.NodeError.Code;
+import onyxpaddle.rpc.RpcCallRouter.Taken;
+import onyxpaddle.rpc.RpcDropCounter.Dropped;
 import onyxpaddle.socket.PollableChannel;
 
 /**
@@ -63,7 +63,7 @@
         private final long msgid;
         private final Taken taken;
         private final Exchange exchange;
-        private OwnError refusal;
+        private NodeError refusal;
 
         private OpenCall(long msgid, Taken taken) {
             this.msgid = msgid;
@@ -91,15 +91,15 @@
         @Override
         public void refused(long retryAfter, Answer own) {
             long millis = retryAfter == 0 ? 0 : Math.max(1, retryAfter / 1_000_000L);
-            other(new OwnError(Code.REFUSED, Code.REFUSED.usual, millis), own);
+            other(new NodeError(Code.REFUSED, Code.REFUSED.usual, millis), own);
         }
 
         @Override
         public void failed(boolean late, Answer own) {
-            other(OwnError.of(late ? Code.LATE : Code.FAILED), own);
+            other(NodeError.of(late ? Code.LATE : Code.FAILED), own);
         }
 
-        private void other(OwnError error, Answer own) {
+        private void other(NodeError error, Answer own) {
             if (msgid == NOTIFICATION) {
                 notices--;
                 all.counts.add(Dropped.NOTIFICATION, all.clock().now(), taken.head().method() + ": " + error.message());
@@ -223,14 +223,14 @@
         Taken taken = all.calls.read(method, params, notice, envelope,
             channel.remoteAddress().getAddress().getHostAddress());
         if (taken == null) {
-            refuse(msgid, method, OwnError.of(Code.NO_METHOD));
+            refuse(msgid, method, NodeError.of(Code.NO_METHOD));
         } else if (all.refuses() || all.nearConnectionLimit()) {
             taken.target().pool().countResult(taken.terms(), RequestCounts.RequestResult.BUSY);
-            refuse(msgid, method, OwnError.of(Code.REFUSED));
+            refuse(msgid, method, NodeError.of(Code.REFUSED));
         } else {
             receiving = new OpenCall(msgid, taken);
             ByteBuf head = Unpooled.buffer(5);
-            MsgPack.array(head, params);
+            MsgPackWriter.array(head, params);
             payload(head);
         }
     }
@@ -250,7 +250,7 @@
         if (!call.exchange.body.add(bytes)) {
             // Nothing of it was sent on, so the caller may try again when there is room.
             boolean large = call.exchange.body.size() + more > call.taken.target().payload();
-            call.refusal = OwnError.of(large ? Code.TOO_LARGE : Code.REFUSED);
+            call.refusal = NodeError.of(large ? Code.TOO_LARGE : Code.REFUSED);
             call.exchange.body.release();
         }
     }
@@ -284,7 +284,7 @@
     }
 
     /** Turns away what was never taken. */
-    private void refuse(long msgid, String method, OwnError error) {
+    private void refuse(long msgid, String method, NodeError error) {
         if (msgid == NOTIFICATION) {
             all.counts.add(Dropped.NOTIFICATION, all.clock().now(), method + ": " + error.message());
         } else {
@@ -294,10 +294,10 @@
 
     // ---- answers ----
 
-    private static ByteBuf body(OwnError error) {
+    private static ByteBuf body(NodeError error) {
         ByteBuf body = Unpooled.buffer(128);
         error.write(body);
-        MsgPack.nil(body);
+        MsgPackWriter.nil(body);
         return body;
     }
 
@@ -314,9 +314,9 @@
 
     private ChannelFuture write(long msgid, ByteBuf body) {
         ByteBuf head = channel.alloc().buffer(16);
-        MsgPack.array(head, 4);
-        MsgPack.whole(head, 1);
-        MsgPack.whole(head, msgid);
+        MsgPackWriter.array(head, 4);
+        MsgPackWriter.whole(head, 1);
+        MsgPackWriter.whole(head, msgid);
         long bytes = head.readableBytes() + body.readableBytes();
         if (unread++ == 0) {
             unreadSince = all.clock().now();
--- a/src/main/java/onyxpaddle/rpc/ConnectionChoice.java
+++ b/src/main/java/onyxpaddle/rpc/ConnectionSelector.java
@@ -11,7 +11,7 @@
  * (head of line); it should cover any connection on which the server has stopped. It does harm where a server answers
  * in bursts with long silence between them: it then gets more connections than it needs, up to the limit.
  */
-final class ConnectionChoice {
+final class ConnectionSelector {
     static final int DIAL = -1;
     static final int NONE = -2;
     /** A silence shorter than this is none. */
@@ -32,7 +32,7 @@
     private final int mostConnections;
     private double usual;
 
-    ConnectionChoice(int mostConnections) {
+    ConnectionSelector(int mostConnections) {
         this.mostConnections = mostConnections;
     }
 
--- a/src/main/java/onyxpaddle/rpc/Envelope.java
+++ b/src/main/java/onyxpaddle/rpc/Envelope.java
@@ -36,7 +36,7 @@
 
     /** Reads the value under the name, which has come whole. */
     static Envelope read(ByteBuf in) throws FormatException {
-        ValueReader value = new ValueReader(in, "the envelope");
+        MsgPackReader value = new MsgPackReader(in, "the envelope");
         int pairs = value.map();
         double expires = Double.NaN;
         String key = null;
@@ -69,26 +69,26 @@
         out.writeBytes(MARK);
         int pairs = (Double.isNaN(expires) ? 0 : 1) + (key == null ? 0 : 1) + (tenant == null ? 0 : 1) + (retry ? 1 : 0)
             + (Double.isNaN(worth) ? 0 : 1);
-        MsgPack.map(out, pairs);
+        MsgPackWriter.map(out, pairs);
         if (!Double.isNaN(expires)) {
-            MsgPack.text(out, "expires");
-            MsgPack.whole(out, (long) expires);
+            MsgPackWriter.text(out, "expires");
+            MsgPackWriter.whole(out, (long) expires);
         }
         if (key != null) {
-            MsgPack.text(out, "key");
-            MsgPack.text(out, key);
+            MsgPackWriter.text(out, "key");
+            MsgPackWriter.text(out, key);
         }
         if (tenant != null) {
-            MsgPack.text(out, "tenant");
-            MsgPack.text(out, tenant);
+            MsgPackWriter.text(out, "tenant");
+            MsgPackWriter.text(out, tenant);
         }
         if (retry) {
-            MsgPack.text(out, "retry");
-            MsgPack.flag(out, true);
+            MsgPackWriter.text(out, "retry");
+            MsgPackWriter.flag(out, true);
         }
         if (!Double.isNaN(worth)) {
-            MsgPack.text(out, "worth");
-            MsgPack.number(out, worth);
+            MsgPackWriter.text(out, "worth");
+            MsgPackWriter.number(out, worth);
         }
     }
 }
--- a/src/main/java/onyxpaddle/rpc/FrameDecoder.java
+++ b/src/main/java/onyxpaddle/rpc/FrameDecoder.java
@@ -27,7 +27,7 @@
 
     private final FrameLimits limits;
     private final FrameSink sink;
-    private final ValueScanner scanner;
+    private final MsgPackScanner scanner;
     /** The bytes of the part of the head at hand. */
     private final ByteBuf part;
     private State state = State.FRAME_HEAD;
@@ -42,7 +42,7 @@
     FrameDecoder(FrameLimits limits, FrameSink sink) {
         this.limits = limits;
         this.sink = sink;
-        scanner = new ValueScanner(limits.deepest());
+        scanner = new MsgPackScanner(limits.deepest());
         part = Unpooled.wrappedBuffer(new byte[Math.max(limits.method() + 5, limits.envelope() + 16)]).clear();
     }
 
--- a/src/main/java/onyxpaddle/rpc/ValueReader.java
+++ b/src/main/java/onyxpaddle/rpc/MsgPackReader.java
@@ -3,14 +3,14 @@
 import io.netty.buffer.ByteBuf;
 
 /** Reads small values that have come whole. Each method takes one value, or says that it is another kind. */
-final class ValueReader {
+final class MsgPackReader {
     private static final int DEEPEST = 8;
 
     private final ByteBuf in;
     private final String what;
 
-    /** {@code in}: one value that a {@link ValueScanner} has found whole; {@code what}: what people call it. */
-    ValueReader(ByteBuf in, String what) {
+    /** {@code in}: one value that a {@link MsgPackScanner} has found whole; {@code what}: what people call it. */
+    MsgPackReader(ByteBuf in, String what) {
         this.in = in;
         this.what = what;
     }
@@ -85,7 +85,7 @@
 
     /** Passes over a value of any kind. */
     void skip() throws FormatException {
-        ValueScanner scanner = new ValueScanner(DEEPEST);
+        MsgPackScanner scanner = new MsgPackScanner(DEEPEST);
         scanner.begin(in.readableBytes());
         in.readerIndex(scanner.scan(in, in.readerIndex(), in.writerIndex()));
         if (!scanner.ended()) {
--- a/src/main/java/onyxpaddle/rpc/ValueScanner.java
+++ b/src/main/java/onyxpaddle/rpc/MsgPackScanner.java
@@ -7,7 +7,7 @@
  * checked against the room left before anything relies on it; the memory it needs is that of its deepest nesting.
  * Formats by the MessagePack specification, "Formats"; 0xc1 is none.
  */
-final class ValueScanner {
+final class MsgPackScanner {
     private enum Claim { BYTES, EXTENSION, ITEMS, PAIRS }
 
     /** Items still to come at each depth; at 0 the value itself. */
@@ -22,7 +22,7 @@
     private long room;
 
     /** {@code deepest}: the most arrays and maps within each other. */
-    ValueScanner(int deepest) {
+    MsgPackScanner(int deepest) {
         left = new long[deepest + 1];
     }
 
--- a/src/main/java/onyxpaddle/rpc/Values.java
+++ b/src/main/java/onyxpaddle/rpc/MsgPackValues.java
@@ -3,15 +3,15 @@
 import io.netty.buffer.ByteBuf;
 
 /** Looks at values that lie whole in a buffer, for bridges to other protocols. */
-public final class Values {
+public final class MsgPackValues {
     private static final int DEEPEST = 64;
 
-    private Values() {
+    private MsgPackValues() {
     }
 
     /** Whether the buffer holds one whole value and nothing else. */
-    public static boolean whole(ByteBuf bytes) {
-        ValueScanner scanner = new ValueScanner(DEEPEST);
+    public static boolean isSingleValue(ByteBuf bytes) {
+        MsgPackScanner scanner = new MsgPackScanner(DEEPEST);
         scanner.begin(bytes.readableBytes());
         try {
             return scanner.scan(bytes, bytes.readerIndex(), bytes.writerIndex()) == bytes.writerIndex() && scanner.ended();
@@ -21,13 +21,13 @@
     }
 
     /** How many items the array has that fills the buffer; 0 for an empty buffer; -1 where it holds anything else. */
-    public static int items(ByteBuf bytes) {
+    public static int arrayLength(ByteBuf bytes) {
         if (!bytes.isReadable()) {
             return 0;
         }
         int at = bytes.readerIndex();
         int first = bytes.getUnsignedByte(at);
-        if (!whole(bytes)) {
+        if (!isSingleValue(bytes)) {
             return -1;
         }
         return (first & 0xf0) == 0x90 ? first & 0x0f : first == 0xdc ? bytes.getUnsignedShort(at + 1)
@@ -35,30 +35,30 @@
     }
 
     /** Whether a reply's error is one that a node gave by itself. */
-    public static boolean isOwnError(ByteBuf error) {
-        return OwnError.read(error.duplicate()) != null;
+    public static boolean isNodeError(ByteBuf error) {
+        return NodeError.read(error.duplicate()) != null;
     }
 
     /** Writes an error that stands for an answer of HTTP: {@code {"http": {"status", "type", "body"}}}; the body's bytes follow. */
-    public static void httpError(ByteBuf out, int status, String type, int bodyBytes) {
-        MsgPack.map(out, 1);
-        MsgPack.text(out, "http");
-        MsgPack.map(out, 3);
-        MsgPack.text(out, "status");
-        MsgPack.whole(out, status);
-        MsgPack.text(out, "type");
-        MsgPack.text(out, type);
-        MsgPack.text(out, "body");
-        MsgPack.binaryHead(out, bodyBytes);
+    public static void writeHttpError(ByteBuf out, int status, String type, int bodyBytes) {
+        MsgPackWriter.map(out, 1);
+        MsgPackWriter.text(out, "http");
+        MsgPackWriter.map(out, 3);
+        MsgPackWriter.text(out, "status");
+        MsgPackWriter.whole(out, status);
+        MsgPackWriter.text(out, "type");
+        MsgPackWriter.text(out, type);
+        MsgPackWriter.text(out, "body");
+        MsgPackWriter.binaryHead(out, bodyBytes);
     }
 
     /** Writes the head of a binary value of so many bytes. */
-    public static void binaryHead(ByteBuf out, int bytes) {
-        MsgPack.binaryHead(out, bytes);
+    public static void writeBinaryHeader(ByteBuf out, int bytes) {
+        MsgPackWriter.binaryHead(out, bytes);
     }
 
     /** Writes nil. */
-    public static void nil(ByteBuf out) {
-        MsgPack.nil(out);
+    public static void writeNil(ByteBuf out) {
+        MsgPackWriter.nil(out);
     }
 }
--- a/src/main/java/onyxpaddle/rpc/MsgPack.java
+++ b/src/main/java/onyxpaddle/rpc/MsgPackWriter.java
@@ -4,7 +4,7 @@
 import java.nio.charset.StandardCharsets;
 
 /** Writes values in their shortest formats, as the MessagePack specification (revision of 2013, "Formats") has them. */
-final class MsgPack {
+final class MsgPackWriter {
     static final int NIL = 0xc0;
     private static final int FALSE = 0xc2;
     private static final int TRUE = 0xc3;
@@ -25,7 +25,7 @@
     private static final int FIXARRAY = 0x90;
     private static final int FIXSTR = 0xa0;
 
-    private MsgPack() {
+    private MsgPackWriter() {
     }
 
     static void nil(ByteBuf out) {
--- a/src/main/java/onyxpaddle/rpc/OwnError.java
+++ b/src/main/java/onyxpaddle/rpc/NodeError.java
@@ -10,7 +10,7 @@
  *
  * @param retryAfter in milliseconds; 0 for no advice
  */
-record OwnError(Code code, String message, long retryAfter) {
+record NodeError(Code code, String message, long retryAfter) {
     private static final int LONGEST_TEXT = 1024;
 
     /** What befell the call. */
@@ -48,27 +48,27 @@
         }
     }
 
-    static OwnError of(Code code) {
-        return new OwnError(code, code.usual, 0);
+    static NodeError of(Code code) {
+        return new NodeError(code, code.usual, 0);
     }
 
     void write(ByteBuf out) {
-        MsgPack.map(out, 1);
-        MsgPack.text(out, Envelope.NAME);
-        MsgPack.map(out, retryAfter > 0 ? 3 : 2);
-        MsgPack.text(out, "code");
-        MsgPack.text(out, code.word());
-        MsgPack.text(out, "message");
-        MsgPack.text(out, message);
+        MsgPackWriter.map(out, 1);
+        MsgPackWriter.text(out, Envelope.NAME);
+        MsgPackWriter.map(out, retryAfter > 0 ? 3 : 2);
+        MsgPackWriter.text(out, "code");
+        MsgPackWriter.text(out, code.word());
+        MsgPackWriter.text(out, "message");
+        MsgPackWriter.text(out, message);
         if (retryAfter > 0) {
-            MsgPack.text(out, "retry_after");
-            MsgPack.whole(out, retryAfter);
+            MsgPackWriter.text(out, "retry_after");
+            MsgPackWriter.whole(out, retryAfter);
         }
     }
 
     /** Reads one from a reply's error, which has come whole; null where the error is an application's own. */
-    static OwnError read(ByteBuf error) {
-        ValueReader value = new ValueReader(error, "the error");
+    static NodeError read(ByteBuf error) {
+        MsgPackReader value = new MsgPackReader(error, "the error");
         try {
             if (!value.isMap() || value.map() != 1 || !value.text(LONGEST_TEXT).equals(Envelope.NAME)) {
                 return null;
@@ -85,7 +85,7 @@
                     default -> value.skip();
                 }
             }
-            return code == null ? null : new OwnError(code, message, (long) Math.max(0, retryAfter));
+            return code == null ? null : new NodeError(code, message, (long) Math.max(0, retryAfter));
         } catch (FormatException | IndexOutOfBoundsException e) {
             // It only looked like one: an application's error may be any value.
             return null;
--- a/src/main/java/onyxpaddle/rpc/RpcBridge.java
+++ b/src/main/java/onyxpaddle/rpc/RpcBridge.java
@@ -8,8 +8,8 @@
     /** For calls of this protocol alone. */
     RpcBridge NONE = new RpcBridge() {
         @Override
-        public RpcHead head(Exchange exchange) {
-            return (RpcHead) exchange.head;
+        public RpcCallHead head(Exchange exchange) {
+            return (RpcCallHead) exchange.head;
         }
 
         @Override
@@ -19,7 +19,7 @@
     };
 
     /** The call as it goes to a server. */
-    RpcHead head(Exchange exchange);
+    RpcCallHead head(Exchange exchange);
 
     /**
      * The answer, whose head is a {@link ReplyHead}, as it goes to the caller; it takes the place of the one given. Null
--- a/src/main/java/onyxpaddle/rpc/RpcHead.java
+++ b/src/main/java/onyxpaddle/rpc/RpcCallHead.java
@@ -11,17 +11,17 @@
  * @param mapped the path it is called by where a server speaks HTTP; null for none
  * @param caller whom it came from, in digits
  */
-public record RpcHead(String method, int params, boolean notification, Envelope envelope, String mapped, String caller)
+public record RpcCallHead(String method, int params, boolean notification, Envelope envelope, String mapped, String caller)
         implements Metadata {
-    public RpcHead {
+    public RpcCallHead {
         if (envelope == null) {
             envelope = Envelope.NONE;
         }
     }
 
     /** A call that came by another protocol; {@code key} may be null. */
-    public static RpcHead of(String method, int params, String key, boolean retry, String caller) {
-        return new RpcHead(method, params, false, new Envelope(Double.NaN, key, null, retry, Double.NaN), null, caller);
+    public static RpcCallHead of(String method, int params, String key, boolean retry, String caller) {
+        return new RpcCallHead(method, params, false, new Envelope(Double.NaN, key, null, retry, Double.NaN), null, caller);
     }
 
     /** The key that the caller gave, or null. */
--- a/src/main/java/onyxpaddle/rpc/RpcCalls.java
+++ b/src/main/java/onyxpaddle/rpc/RpcCallRouter.java
@@ -10,7 +10,7 @@
 import onyxpaddle.route.ProcedureTable;
 
 /** What a listener makes of the calls that come to it: which pool, which class, how long the caller waits. */
-public final class RpcCalls {
+public final class RpcCallRouter {
     /** Parts of the class's worth that a call may be given, the highest first. */
     private static final double[] PARTS = {1, 0.5, 0.25};
     private static final double MILLI = 1e6;
@@ -23,7 +23,7 @@
      * The kinds of one class: with a key and without, each for the parts of its worth, and for notifications, which are
      * never repeated and whose time to an answer says nothing.
      */
-    public record Classes(RequestClass keyed, RequestClass unkeyed) {
+    public record ClassVariants(RequestClass keyed, RequestClass unkeyed) {
         private static final String[] PART_NAMES = {"", "/half", "/quarter"};
 
         /** All that a pool's module should know. */
@@ -60,12 +60,12 @@
     }
 
     /** A call that has a pool to go to. */
-    record Taken(Target target, Terms terms, RpcHead head) {
+    record Taken(Target target, Terms terms, RpcCallHead head) {
     }
 
     private final ProcedureTable procedures;
     private final Map<String, Target> pools;
-    private final Map<String, Classes> classes;
+    private final Map<String, ClassVariants> classes;
     private final String tenant;
     private final Supplier<String> ids;
     final long longestIdle;
@@ -78,7 +78,7 @@
      * of the node; {@code longestIdle}: of a connection without calls, in nanoseconds; {@code mostOpen}: calls at once
      * on one connection.
      */
-    public RpcCalls(ProcedureTable procedures, Map<String, Target> pools, Map<String, Classes> classes, String tenant,
+    public RpcCallRouter(ProcedureTable procedures, Map<String, Target> pools, Map<String, ClassVariants> classes, String tenant,
             long longestIdle, int mostOpen, Supplier<String> ids) {
         this.procedures = procedures;
         this.pools = Map.copyOf(pools);
@@ -111,11 +111,11 @@
         }
         Target target = pools.get(procedure.pool());
         Envelope said = envelope == null ? Envelope.NONE : envelope;
-        Classes kinds = classes.get(procedure.requestClass());
+        ClassVariants kinds = classes.get(procedure.requestClass());
         RequestClass kind = notification ? kinds.notice() : kinds.of(said.key() != null, said.worth());
         long callerTimeout = Double.isNaN(said.expires()) ? kind.deadline()
             : (long) Math.min(kind.deadline(), said.expires() * MILLI);
         Terms terms = new Terms(ids.get(), kind, callerTimeout, said.tenant() == null ? tenant : said.tenant(), 0, said.retry());
-        return new Taken(target, terms, new RpcHead(method, params, notification, said, procedure.mapped(method), caller));
+        return new Taken(target, terms, new RpcCallHead(method, params, notification, said, procedure.mapped(method), caller));
     }
 }
--- a/src/main/java/onyxpaddle/rpc/RpcConnection.java
+++ b/src/main/java/onyxpaddle/rpc/RpcConnection.java
@@ -12,7 +12,7 @@
 import onyxpaddle.node.Body;
 import onyxpaddle.node.Exchange;
 import onyxpaddle.node.Log;
-import onyxpaddle.rpc.RpcCounts.Dropped;
+import onyxpaddle.rpc.RpcDropCounter.Dropped;
 
 /**
  * One connection to a server, with many calls on it. Calls wait in a queue of its own until the socket takes bytes, so
@@ -82,9 +82,9 @@
 
     // ---- what it is good for ----
 
-    ConnectionChoice.Seen seen(long now) {
+    ConnectionSelector.Seen seen(long now) {
         boolean stalled = connected && (!channel.isWritable() || stalls(now));
-        return new ConnectionChoice.Seen(calls.inFlight(), !retired && !over && !calls.full(), stalled);
+        return new ConnectionSelector.Seen(calls.inFlight(), !retired && !over && !calls.full(), stalled);
     }
 
     private boolean stalls(long now) {
@@ -180,21 +180,21 @@
 
     private ByteBuf frame(Call call) {
         Exchange x = call.attempt.exchange;
-        RpcHead head = all.bridge.head(x);
+        RpcCallHead head = all.bridge.head(x);
         call.notification = head.notification();
         ByteBuf out = channel.alloc().buffer(64 + head.method().length());
-        MsgPack.array(out, head.notification() ? 3 : 4);
-        MsgPack.whole(out, head.notification() ? NOTICE : CALL);
+        MsgPackWriter.array(out, head.notification() ? 3 : 4);
+        MsgPackWriter.whole(out, head.notification() ? NOTICE : CALL);
         if (!head.notification()) {
-            MsgPack.whole(out, call.id);
+            MsgPackWriter.whole(out, call.id);
         }
-        MsgPack.text(out, head.method());
+        MsgPackWriter.text(out, head.method());
         ByteBuf params = x.body.size() == 0 ? Unpooled.EMPTY_BUFFER : x.body.whole();
         if (params.isReadable()) {
             // The array's head is written anew, as the envelope counts among the parameters.
             params.skipBytes(arrayHead(params));
         }
-        MsgPack.array(out, head.params() + (all.terms.envelope() ? 1 : 0));
+        MsgPackWriter.array(out, head.params() + (all.terms.envelope() ? 1 : 0));
         if (all.terms.envelope()) {
             long now = all.clock.now();
             double left = Math.max(0, Math.min(call.attempt.exchange.timeLeft(now), call.attempt.until - now)) / 1e6;
@@ -302,8 +302,8 @@
 
     private void judge(Attempt attempt, Body body) {
         ByteBuf error = body.whole().slice(0, errorBytes);
-        boolean nil = errorBytes == 1 && error.getUnsignedByte(0) == MsgPack.NIL;
-        OwnError own = nil ? null : OwnError.read(error);
+        boolean nil = errorBytes == 1 && error.getUnsignedByte(0) == MsgPackWriter.NIL;
+        NodeError own = nil ? null : NodeError.read(error);
         Outcome outcome = Outcome.OK;
         if (own != null) {
             outcome = switch (own.code()) {
--- a/src/main/java/onyxpaddle/rpc/RpcCounts.java
+++ b/src/main/java/onyxpaddle/rpc/RpcDropCounter.java
@@ -3,7 +3,7 @@
 import onyxpaddle.node.Log;
 
 /** Counts what is dropped, and tells of it in a line at most every ten seconds each. Event loop only. */
-public final class RpcCounts {
+public final class RpcDropCounter {
     private static final long BETWEEN = 10_000_000_000L;
 
     /** What is counted. */
@@ -24,7 +24,7 @@
     private final long[] toldAt = new long[Dropped.values().length];
     private final String who;
 
-    public RpcCounts(String who) {
+    public RpcDropCounter(String who) {
         this.who = who;
     }
 
--- a/src/main/java/onyxpaddle/rpc/RpcFront.java
+++ b/src/main/java/onyxpaddle/rpc/RpcFront.java
@@ -18,17 +18,17 @@
     private static final long REFUSES_FOR = 300 * MILLI;
     private static final long HIGHEST_UNREAD = 4L << 20;
 
-    final RpcCounts counts;
-    RpcCalls calls;
+    final RpcDropCounter counts;
+    RpcCallRouter calls;
     private long retiredAt;
 
-    public RpcFront(SharedResources around, RpcCounts counts) {
+    public RpcFront(SharedResources around, RpcDropCounter counts) {
         super(around, SWEEP_MS, new WriteBufferWaterMark(32 * 1024, 64 * 1024));
         this.counts = counts;
     }
 
     /** From now on calls are read by these procedures; those read before go on as they were. */
-    public void use(RpcCalls next) {
+    public void use(RpcCallRouter next) {
         calls = next;
     }
 
--- a/src/main/java/onyxpaddle/rpc/RpcUpstream.java
+++ b/src/main/java/onyxpaddle/rpc/RpcUpstream.java
@@ -46,15 +46,15 @@
      * @param idle how long a connection without calls is kept, in nanoseconds
      * @param dialTimeout in nanoseconds
      */
-    public record Terms(int connections, int calls, boolean envelope, long payload, long idle, long dialTimeout) {
+    public record Options(int connections, int calls, boolean envelope, long payload, long idle, long dialTimeout) {
     }
 
     final Clock clock;
     final PoolShare budget;
     final Dispatcher dispatcher;
-    final Terms terms;
+    final Options terms;
     final RpcBridge bridge;
-    final RpcCounts counts;
+    final RpcDropCounter counts;
     private final Bootstrap bootstrap;
     private final Future<?> sweeping;
     private final Map<String, Peer> peers = new HashMap<>();
@@ -64,19 +64,19 @@
     /** A server as this node reaches it. */
     static final class Peer {
         final String server;
-        final ConnectionChoice choice;
+        final ConnectionSelector choice;
         final List<RpcConnection> connections = new ArrayList<>();
         private InetSocketAddress address;
         private long startedAt;
 
         private Peer(String server, int mostConnections) {
             this.server = server;
-            choice = new ConnectionChoice(mostConnections);
+            choice = new ConnectionSelector(mostConnections);
         }
     }
 
     public RpcUpstream(EventLoop loop, ByteBufAllocator allocator, Clock clock, PoolShare budget, Dispatcher dispatcher,
-            Terms terms, RpcBridge bridge, RpcCounts counts) {
+            Options terms, RpcBridge bridge, RpcDropCounter counts) {
         this.clock = clock;
         this.budget = budget;
         this.dispatcher = dispatcher;
@@ -157,12 +157,12 @@
             return;
         }
         long now = clock.now();
-        List<ConnectionChoice.Seen> seen = peer.connections.stream().map(c -> c.seen(now)).toList();
+        List<ConnectionSelector.Seen> seen = peer.connections.stream().map(c -> c.seen(now)).toList();
         int index = peer.choice.choose(seen);
-        if (index == ConnectionChoice.NONE && List.copyOf(peer.connections).stream().filter(c -> c.closeIfSpent(now)).count() > 0) {
+        if (index == ConnectionSelector.NONE && List.copyOf(peer.connections).stream().filter(c -> c.closeIfSpent(now)).count() > 0) {
             index = peer.choice.choose(peer.connections.stream().map(c -> c.seen(now)).toList());
         }
-        if (index == ConnectionChoice.NONE) {
+        if (index == ConnectionSelector.NONE) {
             // All its connections are full or stall: it has no room for this call, which never ran.
             dispatcher.ended(attempt, Outcome.FULL, null);
         } else if (index >= 0) {
--- a/src/main/java/onyxpaddle/scale/ConfiguredNode.java
+++ b/src/main/java/onyxpaddle/scale/ConfiguredNode.java
@@ -12,7 +12,7 @@
 import onyxpaddle.config.NodeConfig;
 import onyxpaddle.config.SourceFile;
 import onyxpaddle.distribution.ConfigurationVersion;
-import onyxpaddle.distribution.Interest;
+import onyxpaddle.distribution.Subscription;
 import onyxpaddle.serve.DistributedConfiguration;
 
 /**
@@ -27,7 +27,7 @@
     ConfiguredNode(NodePlan plan, String service, List<InetSocketAddress> replicas, EventLoop loop, ByteBufAllocator allocator, Executor worker,
             Path state) {
         Faults faults = new Faults();
-        DistributedConfiguration.Origin origin = new DistributedConfiguration.Origin(new Interest(plan.name(), service),
+        DistributedConfiguration.Origin origin = new DistributedConfiguration.Origin(new Subscription(plan.name(), service),
             SourceFile.parse(plan.name() + ".yaml", plan.yaml("127.0.0.1:9", null), faults), Path.of("."), MachineLimits.UNKNOWN, state);
         if (faults.any()) {
             throw new IllegalStateException(faults.list().toString());
--- a/src/main/java/onyxpaddle/serve/DistributedConfiguration.java
+++ b/src/main/java/onyxpaddle/serve/DistributedConfiguration.java
@@ -20,7 +20,7 @@
 import onyxpaddle.distribution.ConfigurationVersion;
 import onyxpaddle.distribution.ConfigurationWatch;
 import onyxpaddle.distribution.Entry;
-import onyxpaddle.distribution.Interest;
+import onyxpaddle.distribution.Subscription;
 import onyxpaddle.distribution.ReplicaSelector;
 import onyxpaddle.distribution.Update;
 import onyxpaddle.node.Log;
@@ -41,20 +41,20 @@
     /**
      * What a node's configuration is made from.
      *
-     * @param interest the node's name and its service
+     * @param subscription the node's name and its service
      * @param base the node's own file as read
      * @param folder from which the base and the entries name files
      * @param machine against which limits are checked
      * @param state the folder in which entries in force are kept; null to keep none
      */
-    public record Origin(Interest interest, Value base, Path folder, MachineLimits machine, Path state) {
+    public record Origin(Subscription subscription, Value base, Path folder, MachineLimits machine, Path state) {
     }
 
     /** Where control processes are asked, and on which loop. */
     public record Control(EventLoop loop, ByteBufAllocator allocator, List<InetSocketAddress> replicas) {
     }
 
-    private final Interest interest;
+    private final Subscription subscription;
     private final Path folder;
     private final MachineLimits machine;
     private final EventLoop loop;
@@ -82,18 +82,18 @@
 
     /** {@code worker}: runs one task at a time, in the order they come. */
     public DistributedConfiguration(Origin origin, Control control, Executor worker, ConfigurationTarget target) {
-        this.interest = origin.interest();
+        this.subscription = origin.subscription();
         this.base = origin.base();
         this.folder = origin.folder();
         this.machine = origin.machine();
         this.loop = control.loop();
         this.worker = worker;
         this.target = target;
-        keeping = origin.state() == null ? null : new DistributedConfigurationCache(origin.state(), interest);
+        keeping = origin.state() == null ? null : new DistributedConfigurationCache(origin.state(), subscription);
         List<String> names = control.replicas().stream().map(at -> at.getAddress().getHostAddress() + ":" + at.getPort()).toList();
-        ReplicaSelector selector = new ReplicaSelector(interest.node(), names, ThreadLocalRandom.current());
+        ReplicaSelector selector = new ReplicaSelector(subscription.node(), names, ThreadLocalRandom.current());
         watch = new ConfigurationWatch(loop, control.allocator(), control.replicas(), selector,
-            "node=" + interest.node() + "&service=" + interest.service(), new Held());
+            "node=" + subscription.node() + "&service=" + subscription.service(), new Held());
     }
 
     /**
@@ -138,15 +138,15 @@
 
     // ---- on the loop ----
 
-    private final class Held implements ConfigurationWatch.Holder {
+    private final class Held implements ConfigurationWatch.Receiver {
         @Override
-        public ConfigurationVersion held() {
+        public ConfigurationVersion currentVersion() {
             return told.version();
         }
 
         @Override
-        public ConfigurationTable.Outcome take(Update update) {
-            ConfigurationTable.Applied applied = told.apply(update);
+        public ConfigurationTable.Outcome receive(Update update) {
+            ConfigurationTable.ApplyResult applied = told.apply(update);
             boolean counts = applied.outcome() == ConfigurationTable.Outcome.APPLIED
                 || applied.outcome() == ConfigurationTable.Outcome.UNCHANGED;
             if (counts && (!heard || applied.outcome() == ConfigurationTable.Outcome.APPLIED)) {
@@ -158,7 +158,7 @@
         }
 
         @Override
-        public String report() {
+        public String reportParameters() {
             return currentStatus.parameters();
         }
     }
@@ -203,7 +203,7 @@
         }
         ConfigurationTable table = wanted;
         wanted = null;
-        List<Entry> entries = table.entries(interest);
+        List<Entry> entries = table.entries(subscription);
         if (entries.equals(entriesInForce)) {
             // Nothing that concerns this node has changed.
             currentStatus = ConfigurationStatus.inForce(table.version());
@@ -217,7 +217,7 @@
         NodeConfig config = read(entries, faults);
         if (config == null) {
             Log.line("configuration: " + told(table) + " is refused, as it is at fault:");
-            List<String> why = ConfigurationOverlay.entriesFirst(entries, faults.list()).stream().limit(MOST_FAULTS_LOGGED)
+            List<String> why = ConfigurationOverlay.entryFaultsFirst(entries, faults.list()).stream().limit(MOST_FAULTS_LOGGED)
                 .map(Fault::toString).toList();
             why.forEach(Log::line);
             refused(table, entries, why, true);
@@ -246,10 +246,10 @@
 
     /** The base with the entries over it; null where it is at fault. */
     private NodeConfig read(List<Entry> entries, Faults faults) {
-        Value merged = ConfigurationOverlay.lay(base, entries, faults);
+        Value merged = ConfigurationOverlay.apply(base, entries, faults);
         NodeConfig config = NodeConfigReader.read(merged, folder, machine, faults);
-        if (!faults.any() && !config.name().equals(interest.node())) {
-            faults.add(merged.place(), "name", "is `" + config.name() + "` where this process runs `" + interest.node() + "`",
+        if (!faults.any() && !config.name().equals(subscription.node())) {
+            faults.add(merged.place(), "name", "is `" + config.name() + "` where this process runs `" + subscription.node() + "`",
                 "start another process for another name");
         }
         return faults.any() ? null : config;
@@ -278,7 +278,7 @@
         if (wanted != null) {
             return;
         }
-        if (kept != null && !kept.table().entries(interest).equals(entriesRefused)) {
+        if (kept != null && !kept.table().entries(subscription).equals(entriesRefused)) {
             wanted = kept.table();
             kept = null;
             Log.line("configuration: starting with " + wanted.version() + " as kept");
--- a/src/main/java/onyxpaddle/serve/DistributedConfigurationCache.java
+++ b/src/main/java/onyxpaddle/serve/DistributedConfigurationCache.java
@@ -5,7 +5,7 @@
 import java.nio.file.Path;
 import java.util.Arrays;
 import onyxpaddle.distribution.ConfigurationTable;
-import onyxpaddle.distribution.Interest;
+import onyxpaddle.distribution.Subscription;
 import onyxpaddle.distribution.MalformedUpdateException;
 import onyxpaddle.distribution.SnapshotFile;
 import onyxpaddle.distribution.Update;
@@ -18,7 +18,7 @@
  */
 final class DistributedConfigurationCache {
     private final SnapshotFile file;
-    private final Interest interest;
+    private final Subscription subscription;
     /** A write failed and none has gone well since; said once. */
     private boolean failing;
 
@@ -27,22 +27,22 @@
     }
 
     /** In a folder of several nodes each has files of its own; so has a node beside another service, to which other entries belong. */
-    DistributedConfigurationCache(Path folder, Interest interest) {
-        this.interest = interest;
-        file = new SnapshotFile(folder, "configuration-" + interest.node() + "--" + interest.service());
+    DistributedConfigurationCache(Path folder, Subscription subscription) {
+        this.subscription = subscription;
+        file = new SnapshotFile(folder, "configuration-" + subscription.node() + "--" + subscription.service());
     }
 
     /** What was kept; null where nothing was, or nothing can be read, which the log says. */
     Kept read() {
-        SnapshotFile.Found found = file.read();
-        if (found instanceof SnapshotFile.Sound sound) {
+        SnapshotFile.ReadResult found = file.read();
+        if (found instanceof SnapshotFile.Intact sound) {
             return decoded(sound.bytes());
         }
-        if (found instanceof SnapshotFile.FellBack older) {
+        if (found instanceof SnapshotFile.Fallback older) {
             Log.line("configuration: of what was kept the newest is damaged, the one before is used: " + older.damage());
             return decoded(older.bytes());
         }
-        if (found instanceof SnapshotFile.Torn torn) {
+        if (found instanceof SnapshotFile.Corrupt torn) {
             Log.line("configuration: what was kept is damaged and not used: " + torn.damage());
         }
         return null;
@@ -64,7 +64,7 @@
 
     /** Keeps a state in the place of the one before. A disk that refuses is told to the log; the node goes on. */
     void write(ConfigurationTable table, long at) {
-        byte[] json = UpdateJson.write(table.whole(interest, 0));
+        byte[] json = UpdateJson.write(table.fullUpdate(subscription, 0));
         try {
             file.write(ByteBuffer.allocate(Long.BYTES + json.length).putLong(at).put(json).array());
             if (failing) {
--- a/src/main/java/onyxpaddle/serve/DistributedNode.java
+++ b/src/main/java/onyxpaddle/serve/DistributedNode.java
@@ -19,7 +19,7 @@
 import onyxpaddle.config.SourceFile;
 import onyxpaddle.config.Value;
 import onyxpaddle.config.View;
-import onyxpaddle.distribution.Interest;
+import onyxpaddle.distribution.Subscription;
 import onyxpaddle.node.Addresses;
 import onyxpaddle.node.Log;
 import onyxpaddle.node.SocketBuffers;
@@ -52,14 +52,14 @@
     public static void main(Path file, HostPort admin, List<HostPort> control, String service, Path state) {
         Faults faults = new Faults();
         Value base = SourceFile.read(file, faults);
-        Interest interest = base == null ? null : interest(base, service, faults);
-        if (interest == null) {
+        Subscription subscription = base == null ? null : subscription(base, service, faults);
+        if (subscription == null) {
             faults.list().forEach(System.err::println);
             System.exit(EXIT_CONFIG);
         }
         DistributedNode target = new DistributedNode(admin);
         DistributedConfiguration configuration = new DistributedConfiguration(
-            new DistributedConfiguration.Origin(interest, base, file.toAbsolutePath().getParent(), MachineLimits.here(), state),
+            new DistributedConfiguration.Origin(subscription, base, file.toAbsolutePath().getParent(), MachineLimits.here(), state),
             control(control), worker(), target);
         try {
             configuration.start().get();
@@ -76,14 +76,14 @@
     }
 
     /** Whose entries concern the node; null where the file does not name it. */
-    private static Interest interest(Value base, String service, Faults faults) {
+    private static Subscription subscription(Value base, String service, Faults faults) {
         String name = new View(base).text("name", Shape.Kind.NAME, null);
         if (name == null) {
             faults.add(base.place(), "name", "is missing or is no name", "the node's name, by which its entries are found");
             return null;
         }
         try {
-            return new Interest(name, service);
+            return new Subscription(name, service);
         } catch (IllegalArgumentException e) {
             faults.add(base.place(), "name", e.getMessage(), "a name of lower-case letters, digits and hyphens");
             return null;
--- a/src/main/java/onyxpaddle/serve/MixedProtocolUpstream.java
+++ b/src/main/java/onyxpaddle/serve/MixedProtocolUpstream.java
@@ -8,7 +8,7 @@
 import onyxpaddle.node.Log;
 import onyxpaddle.node.ServerList;
 import onyxpaddle.node.Upstream;
-import onyxpaddle.rpc.RpcHead;
+import onyxpaddle.rpc.RpcCallHead;
 import onyxpaddle.rpc.RpcUpstream;
 
 /**
@@ -42,11 +42,11 @@
 
     @Override
     public void send(Attempt attempt) {
-        if (rpc == null && attempt.exchange.head.mapped() == null && !(attempt.exchange.head instanceof RpcHead)) {
+        if (rpc == null && attempt.exchange.head.mapped() == null && !(attempt.exchange.head instanceof RpcCallHead)) {
             http.send(attempt);
             return;
         }
-        boolean byRpc = attempt.exchange.head instanceof RpcHead;
+        boolean byRpc = attempt.exchange.head instanceof RpcCallHead;
         boolean mapped = attempt.exchange.head.mapped() != null;
         boolean rpcReaches = rpc != null && rpc.reaches(attempt.server);
         boolean httpReaches = http.reaches(attempt.server);
--- a/src/main/java/onyxpaddle/serve/PoolSettings.java
+++ b/src/main/java/onyxpaddle/serve/PoolSettings.java
@@ -23,7 +23,7 @@
 import onyxpaddle.http.PlainRequestDialect.Classes;
 import onyxpaddle.node.Addresses;
 import onyxpaddle.node.ServerList;
-import onyxpaddle.rpc.RpcCalls;
+import onyxpaddle.rpc.RpcCallRouter;
 import onyxpaddle.rpc.RpcUpstream;
 
 /** What a configuration says, in the terms of the module that decides. */
@@ -84,13 +84,13 @@
     }
 
     /** The same, as calls by MessagePack-RPC see it. */
-    static RpcCalls.Classes callClasses(RequestClass c) {
+    static RpcCallRouter.ClassVariants callClasses(RequestClass c) {
         Classes both = classes(c);
-        return new RpcCalls.Classes(both.keyed(), both.unkeyed());
+        return new RpcCallRouter.ClassVariants(both.keyed(), both.unkeyed());
     }
 
-    static Map<String, RpcCalls.Classes> callClasses(NodeConfig config) {
-        Map<String, RpcCalls.Classes> classes = new HashMap<>();
+    static Map<String, RpcCallRouter.ClassVariants> callClasses(NodeConfig config) {
+        Map<String, RpcCallRouter.ClassVariants> classes = new HashMap<>();
         config.classes().forEach((name, c) -> classes.put(name, callClasses(c)));
         return classes;
     }
--- a/src/main/java/onyxpaddle/serve/RunningPool.java
+++ b/src/main/java/onyxpaddle/serve/RunningPool.java
@@ -34,8 +34,8 @@
 import onyxpaddle.node.Log;
 import onyxpaddle.node.ServerList;
 import onyxpaddle.node.RequestCounts;
-import onyxpaddle.rpc.RpcCalls;
-import onyxpaddle.rpc.RpcCounts;
+import onyxpaddle.rpc.RpcCallRouter;
+import onyxpaddle.rpc.RpcDropCounter;
 import onyxpaddle.rpc.RpcUpstream;
 
 /** A running pool: its servers, the module that decides about them, and where they are learnt from. */
@@ -85,8 +85,8 @@
 
     private RpcUpstream rpc(Pool pool) {
         return new RpcUpstream(around.loop(), around.allocator(), around.clock(), share, dispatcher,
-            new RpcUpstream.Terms(pool.rpc().connections(), pool.rpc().calls(), pool.rpc().envelope(), pool.body(),
-                pool.idle(), pool.connectTimeout()), new HttpOverRpc(share.bytes()), new RpcCounts("pool " + pool.name()));
+            new RpcUpstream.Options(pool.rpc().connections(), pool.rpc().calls(), pool.rpc().envelope(), pool.body(),
+                pool.idle(), pool.connectTimeout()), new HttpOverRpc(share.bytes()), new RpcDropCounter("pool " + pool.name()));
     }
 
     /** Learns its servers from now on. */
@@ -156,8 +156,8 @@
         return new Target(dispatcher, share.bytes(), config.body(), config.held());
     }
 
-    RpcCalls.Target callTarget() {
-        return new RpcCalls.Target(dispatcher, share.bytes(), config.body());
+    RpcCallRouter.Target callTarget() {
+        return new RpcCallRouter.Target(dispatcher, share.bytes(), config.body());
     }
 
     /** Ends it, once nothing is out any more. */
--- a/src/main/java/onyxpaddle/serve/Sidecar.java
+++ b/src/main/java/onyxpaddle/serve/Sidecar.java
@@ -42,8 +42,8 @@
 import onyxpaddle.node.RequestCounts;
 import onyxpaddle.route.ProcedureTable;
 import onyxpaddle.route.RouteTable;
-import onyxpaddle.rpc.RpcCalls;
-import onyxpaddle.rpc.RpcCounts;
+import onyxpaddle.rpc.RpcCallRouter;
+import onyxpaddle.rpc.RpcDropCounter;
 import onyxpaddle.rpc.RpcFront;
 
 /**
@@ -225,7 +225,7 @@
         for (Listener listener : current.config().listeners().values()) {
             if (standing(listener) == null) {
                 SharedResources around = new SharedResources(loop, allocator, clock, budget, listener.outbound() ? outbound : inbound);
-                Front front = listener.rpc() ? new RpcFront(around, new RpcCounts("listener " + listener.name()))
+                Front front = listener.rpc() ? new RpcFront(around, new RpcDropCounter("listener " + listener.name()))
                     : new HttpFront(around, null, this::ready);
                 binding.add(front.listen(Addresses.of(listener.address().host(), listener.address().port()), life.shares()));
                 fresh.add(new Door(listener, front, null, listener.outbound()));
@@ -343,12 +343,12 @@
             () -> idPrefix + Long.toHexString(requests++), HttpOverRpc::acceptsBody);
     }
 
-    private RpcCalls calls(NodeConfig to, Listener listener) {
-        Map<String, RpcCalls.Target> targets = new HashMap<>();
+    private RpcCallRouter calls(NodeConfig to, Listener listener) {
+        Map<String, RpcCallRouter.Target> targets = new HashMap<>();
         pools.forEach((name, pool) -> targets.put(name, pool.callTarget()));
         ProcedureTable table = new ProcedureTable(to.procedures().stream()
             .filter(p -> p.listener().equals(listener.name())).toList());
-        return new RpcCalls(table, targets, PoolSettings.callClasses(to), to.tenant(), listener.idle(), listener.openCalls(),
+        return new RpcCallRouter(table, targets, PoolSettings.callClasses(to), to.tenant(), listener.idle(), listener.openCalls(),
             () -> idPrefix + Long.toHexString(requests++));
     }
 
--- a/src/test/java/onyxpaddle/PackageRulesTest.java
+++ b/src/test/java/onyxpaddle/PackageRulesTest.java
@@ -25,11 +25,11 @@
         "onyxpaddle.node.RequestCounts", "onyxpaddle.front.StallDetector", "onyxpaddle.membership.ListWatch",
         "onyxpaddle.bgp.Fsm", "onyxpaddle.bgp.Peering", "onyxpaddle.bgp.ServiceHealth",
         "onyxpaddle.bgp.AnnouncePolicy", "onyxpaddle.bgp.Prefix", "onyxpaddle.rpc.CallTable",
-        "onyxpaddle.rpc.ConnectionChoice", "onyxpaddle.distribution.ConfigurationTable",
-        "onyxpaddle.distribution.WholeAnswerPacer", "onyxpaddle.distribution.PublisherFence",
-        "onyxpaddle.distribution.UpdatePages", "onyxpaddle.distribution.UpdateAssembly",
+        "onyxpaddle.rpc.ConnectionSelector", "onyxpaddle.distribution.ConfigurationTable",
+        "onyxpaddle.distribution.FullUpdatePacer", "onyxpaddle.distribution.PublisherFence",
+        "onyxpaddle.distribution.UpdatePager", "onyxpaddle.distribution.UpdateAssembler",
         "onyxpaddle.distribution.ConfigurationVersion", "onyxpaddle.distribution.EntryKey",
-        "onyxpaddle.distribution.Interest", "onyxpaddle.distribution.History", "onyxpaddle.control.Telling",
+        "onyxpaddle.distribution.Subscription", "onyxpaddle.distribution.History", "onyxpaddle.control.ServedConfiguration",
         "onyxpaddle.control.Reports", "onyxpaddle.control.FleetStatus",
         "onyxpaddle.distribution.ReplicaSelector", "onyxpaddle.distribution.ConfigurationOverlay");
 
--- a/src/test/java/onyxpaddle/command/ControlCommandTest.java
+++ b/src/test/java/onyxpaddle/command/ControlCommandTest.java
@@ -31,7 +31,7 @@
     @BeforeEach
     void start() throws Exception {
         publisher = ControlProcess.start(new ControlSettings(new HostPort("127.0.0.1", 0), "p", folder.resolve("p"), 1, List.of(),
-            List.of(), ControlSettings.USUAL_WHOLE_RATE));
+            List.of(), ControlSettings.DEFAULT_FULL_UPDATE_RATE));
         at = "127.0.0.1:" + publisher.address().getPort();
     }
 
--- a/src/test/java/onyxpaddle/control/ConfigurationChangesIT.java
+++ b/src/test/java/onyxpaddle/control/ConfigurationChangesIT.java
@@ -105,7 +105,7 @@
         System.out.println(MANY + " versions behind: caught up with " + spent + " bytes");
         assertTrue(spent <= MOST_BYTES, spent + " bytes");
         assertEquals(List.of(Changes.ROUTES), publisher.told(left).entries().stream().map(entry -> entry.key().toString()).toList());
-        assertEquals(false, publisher.told(left).whole());
+        assertEquals(false, publisher.told(left).full());
     }
 
     private static String spareServers(int number) {
--- a/src/test/java/onyxpaddle/control/ControlConnectionTest.java
+++ b/src/test/java/onyxpaddle/control/ControlConnectionTest.java
@@ -151,7 +151,7 @@
         assertEquals(0, bodies);
         connection.answer(Answer.ok(new byte[0]));
         answered();
-        send("POST /v1/changes HTTP/1.1\r\nContent-Length: " + (ChangeJson.MOST_BYTES + 1) + "\r\n\r\nab");
+        send("POST /v1/changes HTTP/1.1\r\nContent-Length: " + (ChangeJson.MAX_BYTES + 1) + "\r\n\r\nab");
         assertTrue(answered().startsWith("HTTP/1.1 413"));
         assertFalse(channel.isActive());
     }
@@ -160,7 +160,7 @@
     void aBodyWithoutALengthIsBoundedToo() {
         send("POST /v1/changes HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n");
         String piece = "10000\r\n" + "x".repeat(0x10000) + "\r\n";
-        for (int i = 0; i <= ChangeJson.MOST_BYTES / 0x10000 && channel.isActive(); i++) {
+        for (int i = 0; i <= ChangeJson.MAX_BYTES / 0x10000 && channel.isActive(); i++) {
             send(piece);
         }
         assertTrue(answered().startsWith("HTTP/1.1 413"));
--- a/src/test/java/onyxpaddle/control/ControlRig.java
+++ b/src/test/java/onyxpaddle/control/ControlRig.java
@@ -48,11 +48,11 @@
     }
 
     ControlProcess publisher(String id, long epoch, HostPort... takeOverFrom) throws Exception {
-        return start(new ControlSettings(ANY, id, state(id), epoch, List.of(takeOverFrom), List.of(), ControlSettings.USUAL_WHOLE_RATE));
+        return start(new ControlSettings(ANY, id, state(id), epoch, List.of(takeOverFrom), List.of(), ControlSettings.DEFAULT_FULL_UPDATE_RATE));
     }
 
     ControlProcess replica(String id, HostPort... follow) throws Exception {
-        return start(new ControlSettings(ANY, id, state(id), 0, List.of(), List.of(follow), ControlSettings.USUAL_WHOLE_RATE));
+        return start(new ControlSettings(ANY, id, state(id), 0, List.of(), List.of(follow), ControlSettings.DEFAULT_FULL_UPDATE_RATE));
     }
 
     ControlProcess start(ControlSettings settings) throws Exception {
--- a/src/test/java/onyxpaddle/control/PublisherTest.java
+++ b/src/test/java/onyxpaddle/control/PublisherTest.java
@@ -62,7 +62,7 @@
         // Before the publisher's answer goes out, all that wait have been looked at.
         assertEquals(0, rig.status(publisher).waiting());
         Update update = call.get(GENEROUS_SECONDS, TimeUnit.SECONDS);
-        assertFalse(update.whole());
+        assertFalse(update.full());
         assertEquals(List.of(new Entry(CLASS, deadline(200), third)), update.entries());
         assertEquals(third, update.version());
         assertEquals(0, update.staleMs());
@@ -131,7 +131,7 @@
         assertTrue(status.fenced());
         assertEquals(new ConfigurationVersion(1, 1), status.version());
         rig.stop(publisher);
-        StartException refused = assertThrows(StartException.class, () -> rig.publisher("p", 1));
+        StartRefusedException refused = assertThrows(StartRefusedException.class, () -> rig.publisher("p", 1));
         assertTrue(refused.getMessage().contains("epoch 1 is over: 2"), refused.getMessage());
     }
 
@@ -167,7 +167,7 @@
         rig.publish(publisher, new Change(CLASS, deadline(100)));
         rig.stop(publisher);
         Files.write(rig.state("p").resolve("configuration.1"), bytes("noise"));
-        StartException refused = assertThrows(StartException.class, () -> rig.publisher("p", 1));
+        StartRefusedException refused = assertThrows(StartRefusedException.class, () -> rig.publisher("p", 1));
         assertTrue(refused.getMessage().contains("--take-over-from"), refused.getMessage());
     }
 
@@ -176,13 +176,13 @@
         rig.stop(publisher);
         Files.delete(rig.state("p").resolve("configuration.0"));
         Files.delete(rig.state("p").resolve("configuration.1"));
-        assertThrows(StartException.class, () -> rig.publisher("p", 1));
-        assertThrows(StartException.class, () -> rig.publisher("p", 2));
+        assertThrows(StartRefusedException.class, () -> rig.publisher("p", 1));
+        assertThrows(StartRefusedException.class, () -> rig.publisher("p", 2));
     }
 
     @Test
     void twoProcessesDoNotShareAFolder() {
-        StartException refused = assertThrows(StartException.class, () -> rig.publisher("p", 1));
+        StartRefusedException refused = assertThrows(StartRefusedException.class, () -> rig.publisher("p", 1));
         assertTrue(refused.getMessage().contains("another control process"), refused.getMessage());
     }
 
@@ -243,7 +243,7 @@
         String twice = "{\"key\":\"fleet/routes\",\"value\":null}";
         assertEquals(400, rig.post(publisher, "", bytes("{\"changes\":[" + twice + "," + twice + "]}")).status());
         assertEquals(400, rig.post(publisher, "?acks=x", changes(null, new Change(CLASS, null))).status());
-        assertEquals(413, rig.post(publisher, "", new byte[ChangeJson.MOST_BYTES + 1]).status());
+        assertEquals(413, rig.post(publisher, "", new byte[ChangeJson.MAX_BYTES + 1]).status());
         for (String query : List.of("", "?node=N1", "?node=n1&epoch=x", "?node=n1&epoch=0&after=3", "?node=n1&wait_ms=10001", "?scope=all",
                 "?node=n1&node=n2", "?node=n1&in_force=1", "?node=n1&service=%ff")) {
             assertEquals(400, rig.get(publisher, "/v1/configuration" + query).status(), query);
--- a/src/test/java/onyxpaddle/control/ReplicaTest.java
+++ b/src/test/java/onyxpaddle/control/ReplicaTest.java
@@ -73,7 +73,7 @@
         Update update = rig.told(again, ConfigurationVersion.NONE, 0);
         assertEquals(List.of(new Entry(CLASS, deadline(200), last)), update.entries());
         assertEquals(last, update.version());
-        assertEquals(Update.NEVER_HEARD, update.staleMs());
+        assertEquals(Update.NO_PUBLISHER_CONTACT, update.staleMs());
         assertEquals(List.of(), rig.told(again, new ConfigurationVersion(1, 2), 0).entries());
     }
 
@@ -88,7 +88,7 @@
         rig.stop(publisher);
         ControlProcess torn = rig.replica("r1", at(publisher));
         assertEquals(503, rig.get(torn, uri("n1", "booking", ConfigurationVersion.NONE, 0)).status());
-        rig.start(new ControlSettings(at(publisher), "p", rig.state("p"), 1, List.of(), List.of(), ControlSettings.USUAL_WHOLE_RATE));
+        rig.start(new ControlSettings(at(publisher), "p", rig.state("p"), 1, List.of(), List.of(), ControlSettings.DEFAULT_FULL_UPDATE_RATE));
         rig.await(torn, status -> status.version().equals(last));
         assertEquals(List.of(deadline(100)), ControlRig.values(rig.told(torn, ConfigurationVersion.NONE, 0)).toList());
     }
@@ -106,7 +106,7 @@
         rig.stop(publisher);
         ControlProcess torn = rig.replica("r1", at(publisher));
         assertEquals(503, rig.get(torn, uri("n1", "booking", ConfigurationVersion.NONE, 0)).status());
-        rig.start(new ControlSettings(at(publisher), "p", rig.state("p"), 1, List.of(), List.of(), ControlSettings.USUAL_WHOLE_RATE));
+        rig.start(new ControlSettings(at(publisher), "p", rig.state("p"), 1, List.of(), List.of(), ControlSettings.DEFAULT_FULL_UPDATE_RATE));
         rig.await(torn, status -> status.version().equals(last));
     }
 
@@ -140,7 +140,7 @@
         ControlProcess moved = rig.replica("r1", at(publisher), at(next));
         ConfigurationVersion second = rig.publish(next, new Change(CLASS, deadline(300)));
         rig.await(moved, status -> status.version().equals(second));
-        StartException late = assertThrows(StartException.class, () -> rig.publisher("p3", 2, at(moved)));
+        StartRefusedException late = assertThrows(StartRefusedException.class, () -> rig.publisher("p3", 2, at(moved)));
         assertTrue(late.getMessage().contains("epoch 2 has begun already"), late.getMessage());
     }
 
--- a/src/test/java/onyxpaddle/control/TellingTest.java
+++ b/src/test/java/onyxpaddle/control/ServedConfigurationTest.java
@@ -8,34 +8,34 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
-import onyxpaddle.control.Telling.NotNow;
-import onyxpaddle.control.Telling.Reply;
-import onyxpaddle.control.Telling.Tell;
-import onyxpaddle.control.Telling.Wait;
+import onyxpaddle.control.ServedConfiguration.NotNow;
+import onyxpaddle.control.ServedConfiguration.Reply;
+import onyxpaddle.control.ServedConfiguration.Tell;
+import onyxpaddle.control.ServedConfiguration.Wait;
 import onyxpaddle.distribution.ConfigurationTable;
 import onyxpaddle.distribution.ConfigurationTable.Change;
 import onyxpaddle.distribution.ConfigurationVersion;
 import onyxpaddle.distribution.EntryKey;
-import onyxpaddle.distribution.Interest;
+import onyxpaddle.distribution.Subscription;
 import onyxpaddle.distribution.Update;
-import onyxpaddle.distribution.UpdateAssembly;
-import onyxpaddle.distribution.UpdatePages;
+import onyxpaddle.distribution.UpdateAssembler;
+import onyxpaddle.distribution.UpdatePager;
 import org.junit.jupiter.api.Test;
 
-class TellingTest {
+class ServedConfigurationTest {
     private static final long MS = TimeUnit.MILLISECONDS.toNanos(1);
     private static final EntryKey ROUTES = EntryKey.parse("fleet/routes");
     private static final long RATE = 1 << 30;
 
     private static ConfigurationRequest asks(ConfigurationVersion after) {
-        return new ConfigurationRequest(null, new Interest("n1", "booking"), after, null, 1_000, ConfigurationVersion.NONE,
+        return new ConfigurationRequest(null, new Subscription("n1", "booking"), after, null, 1_000, ConfigurationVersion.NONE,
             ConfigurationVersion.NONE, "");
     }
 
     private static ConfigurationTable table(String... values) {
-        ConfigurationTable table = ConfigurationTable.first(1);
+        ConfigurationTable table = ConfigurationTable.initial(1);
         for (String value : values) {
-            table = table.changed(1, List.of(new Change(ROUTES, value)));
+            table = table.withChanges(1, List.of(new Change(ROUTES, value)));
         }
         return table;
     }
@@ -46,21 +46,21 @@
 
     @Test
     void aReplicasNewsGrowOldFromWhenThePublisherWasHeardWhoeverPassedThemOn() {
-        Telling replica = new Telling(0, 0, table("a"), true, RATE);
-        assertEquals(Update.NEVER_HEARD, replica.staleMs(0));
+        ServedConfiguration replica = new ServedConfiguration(0, 0, table("a"), true, RATE);
+        assertEquals(Update.NO_PUBLISHER_CONTACT, replica.staleMs(0));
         replica.heard(300, 1_000 * MS);
         assertEquals(300, replica.staleMs(1_000 * MS));
         assertEquals(800, replica.staleMs(1_500 * MS));
         replica.heard(5_000, 1_600 * MS);
         assertEquals(900, replica.staleMs(1_600 * MS), "older news of the publisher do not count");
-        replica.heard(Update.NEVER_HEARD, 1_700 * MS);
+        replica.heard(Update.NO_PUBLISHER_CONTACT, 1_700 * MS);
         assertEquals(1_000, replica.staleMs(1_700 * MS));
     }
 
     @Test
     void twoReplicasThatHearOfEachOtherOnlyGrowOldTogether() {
-        Telling one = new Telling(0, 0, table("a"), true, RATE);
-        Telling two = new Telling(0, 0, table("a"), true, RATE);
+        ServedConfiguration one = new ServedConfiguration(0, 0, table("a"), true, RATE);
+        ServedConfiguration two = new ServedConfiguration(0, 0, table("a"), true, RATE);
         one.heard(0, 0);
         for (long at = 100 * MS; at <= 10_000 * MS; at += 100 * MS) {
             two.heard(one.staleMs(at), at);
@@ -72,17 +72,17 @@
 
     @Test
     void aPublisherIsNeverStaleUntilItIsFenced() {
-        Telling publisher = new Telling(1, 1, table("a"), true, RATE);
+        ServedConfiguration publisher = new ServedConfiguration(1, 1, table("a"), true, RATE);
         assertEquals(0, publisher.staleMs(50 * MS));
         assertTrue(publisher.hear(new ConfigurationVersion(2, 9)));
         assertFalse(publisher.hear(new ConfigurationVersion(2, 10)));
         assertTrue(publisher.stopped());
-        assertEquals(Update.NEVER_HEARD, publisher.staleMs(500 * MS));
+        assertEquals(Update.NO_PUBLISHER_CONTACT, publisher.staleMs(500 * MS));
     }
 
     @Test
     void aPublisherStopsAtAVersionOfItsOwnThatItDoesNotKnow() {
-        Telling publisher = new Telling(1, 1, table("a"), true, RATE);
+        ServedConfiguration publisher = new ServedConfiguration(1, 1, table("a"), true, RATE);
         publisher.hear(new ConfigurationVersion(1, 1));
         assertFalse(publisher.stopped());
         publisher.hear(new ConfigurationVersion(1, 2));
@@ -91,19 +91,19 @@
 
     @Test
     void whatMayNotBeToldIsNotTold() {
-        Telling replica = new Telling(0, 0, table("a"), false, RATE);
+        ServedConfiguration replica = new ServedConfiguration(0, 0, table("a"), false, RATE);
         assertInstanceOf(NotNow.class, replica.reply(asks(ConfigurationVersion.NONE), true, 0));
         assertEquals(ConfigurationVersion.NONE, replica.version());
         replica.heard(0, 0);
         assertEquals(1, told(replica.reply(asks(ConfigurationVersion.NONE), true, 0)).entries().size());
-        Telling empty = new Telling(0, 0, ConfigurationTable.EMPTY, true, RATE);
+        ServedConfiguration empty = new ServedConfiguration(0, 0, ConfigurationTable.EMPTY, true, RATE);
         empty.heard(0, 0);
         assertInstanceOf(NotNow.class, empty.reply(asks(ConfigurationVersion.NONE), true, 0));
     }
 
     @Test
     void whoIsLevelWaitsAndWhoIsAheadIsToldAtOnce() {
-        Telling replica = new Telling(0, 0, table("a"), true, RATE);
+        ServedConfiguration replica = new ServedConfiguration(0, 0, table("a"), true, RATE);
         ConfigurationVersion level = replica.version();
         assertInstanceOf(Wait.class, replica.reply(asks(level), true, 0));
         assertEquals(level, told(replica.reply(asks(level), false, 0)).version());
@@ -113,47 +113,48 @@
 
     @Test
     void aLargeWholeComesInPagesThatTogetherAreAll() {
-        ConfigurationTable table = ConfigurationTable.first(1);
+        ConfigurationTable table = ConfigurationTable.initial(1);
         String value = "x".repeat(500_000);
         for (int i = 0; i < 20; i++) {
-            table = table.changed(1, List.of(new Change(EntryKey.parse("fleet/pools.p" + i), value + i)));
+            table = table.withChanges(1, List.of(new Change(EntryKey.parse("fleet/pools.p" + i), value + i)));
         }
-        Telling teller = new Telling(0, 0, table, true, RATE);
-        UpdateAssembly assembly = new UpdateAssembly();
+        ServedConfiguration teller = new ServedConfiguration(0, 0, table, true, RATE);
+        UpdateAssembler assembly = new UpdateAssembler();
         List<Long> sizes = new ArrayList<>();
         Update whole = null;
         ConfigurationVersion after = ConfigurationVersion.NONE;
         while (whole == null) {
-            ConfigurationRequest request = new ConfigurationRequest("r1", Interest.ALL, after,
-                assembly.begun() ? assembly.wholeOf() : null, 1_000, ConfigurationVersion.NONE, ConfigurationVersion.NONE, "");
+            ConfigurationRequest request = new ConfigurationRequest("r1", Subscription.ALL, after,
+                assembly.inProgress() ? assembly.firstPageVersion() : null, 1_000, ConfigurationVersion.NONE,
+                ConfigurationVersion.NONE, "");
             Update page = told(teller.reply(request, true, 0));
-            sizes.add(UpdatePages.size(page));
+            sizes.add(UpdatePager.estimatedBytes(page));
             whole = assembly.add(page);
             after = page.lastChange();
         }
         assertEquals(3, sizes.size());
-        assertTrue(sizes.stream().allMatch(size -> size <= Telling.PAGE_BYTES), sizes.toString());
-        assertEquals(table.entries(Interest.ALL), ConfigurationTable.EMPTY.apply(whole).table().entries(Interest.ALL));
+        assertTrue(sizes.stream().allMatch(size -> size <= ServedConfiguration.PAGE_BYTES), sizes.toString());
+        assertEquals(table.entries(Subscription.ALL), ConfigurationTable.EMPTY.apply(whole).table().entries(Subscription.ALL));
     }
 
     @Test
     void aVersionIsNeverCutInTwo() {
-        ConfigurationTable table = ConfigurationTable.first(1).changed(1, List.of(new Change(ROUTES, "a")));
+        ConfigurationTable table = ConfigurationTable.initial(1).withChanges(1, List.of(new Change(ROUTES, "a")));
         List<Change> together = new ArrayList<>();
         for (int i = 0; i < 9; i++) {
             together.add(new Change(EntryKey.parse("fleet/pools.p" + i), "x".repeat(100)));
         }
-        Update whole = table.changed(1, together).whole(Interest.ALL, 0);
-        Update first = UpdatePages.first(whole, 500);
+        Update whole = table.withChanges(1, together).fullUpdate(Subscription.ALL, 0);
+        Update first = UpdatePager.firstPage(whole, 500);
         assertEquals(1, first.entries().size());
         assertTrue(first.more());
-        assertEquals(whole, UpdatePages.first(whole, 100_000));
+        assertEquals(whole, UpdatePager.firstPage(whole, 100_000));
     }
 
     @Test
     void largeDifferencesArePacedLikeWholes() {
-        ConfigurationTable table = table("a", "b".repeat((int) Telling.PACED_BYTES), "c".repeat((int) Telling.PACED_BYTES));
-        Telling teller = new Telling(0, 0, table, true, 1_000);
+        ConfigurationTable table = table("a", "b".repeat((int) ServedConfiguration.PACED_BYTES), "c".repeat((int) ServedConfiguration.PACED_BYTES));
+        ServedConfiguration teller = new ServedConfiguration(0, 0, table, true, 1_000);
         ConfigurationVersion early = new ConfigurationVersion(1, 1);
         told(teller.reply(asks(early), true, 0));
         assertInstanceOf(NotNow.class, teller.reply(asks(early), true, 0));
--- a/src/test/java/onyxpaddle/control/WakeTest.java
+++ b/src/test/java/onyxpaddle/control/WakeTest.java
@@ -30,8 +30,8 @@
     private final EmbeddedChannel clock = new EmbeddedChannel();
     private final EventLoop loop = clock.eventLoop();
     private final DiskThread disk = new DiskThread();
-    private final ConfigurationTable first = ConfigurationTable.first(1);
-    private final Telling telling = new Telling(0, 0, first, true, ControlSettings.USUAL_WHOLE_RATE);
+    private final ConfigurationTable first = ConfigurationTable.initial(1);
+    private final ServedConfiguration served = new ServedConfiguration(0, 0, first, true, ControlSettings.DEFAULT_FULL_UPDATE_RATE);
     private ControlCalls calls;
     private final List<EmbeddedChannel> nodes = new ArrayList<>();
 
@@ -45,8 +45,8 @@
     private void allWait() {
         clock.freezeTime();
         HostPort none = new HostPort("127.0.0.1", 0);
-        ControlSettings settings = new ControlSettings(none, "r1", folder, 0, List.of(), List.of(none), ControlSettings.USUAL_WHOLE_RATE);
-        calls = new ControlCalls(settings, loop, disk, new StateStore(folder), telling, () -> 0);
+        ControlSettings settings = new ControlSettings(none, "r1", folder, 0, List.of(), List.of(none), ControlSettings.DEFAULT_FULL_UPDATE_RATE);
+        calls = new ControlCalls(settings, loop, disk, new StateStore(folder), served, () -> 0);
         for (int i = 0; i < NODES; i++) {
             EmbeddedChannel node = new EmbeddedChannel(new HttpServerCodec(), new ControlConnection(calls));
             nodes.add(node);
@@ -76,11 +76,11 @@
     @Test
     void aChangeAnswersAllThatItConcernsInOnePassAndNoOther() {
         allWait();
-        telling.durable(first.changed(1, List.of(new Change(ControlRig.CLASS, ControlRig.deadline(100)))));
+        served.durable(first.withChanges(1, List.of(new Change(ControlRig.CLASS, ControlRig.deadline(100)))));
         calls.news();
         assertEquals(NODES / 2, answered("\"version\":\"1.1\","
             + "\"whole\":false,\"more\":false,\"stale_ms\":-1,\"entries\":[{\"key\":\"service/booking").size());
-        telling.durable(telling.table().changed(1, List.of(new Change(ControlRig.OTHER, ControlRig.deadline(100)))));
+        served.durable(served.table().withChanges(1, List.of(new Change(ControlRig.OTHER, ControlRig.deadline(100)))));
         calls.news();
         assertEquals(NODES / 2, answered("\"version\":\"1.2\"").size());
     }
@@ -88,7 +88,7 @@
     @Test
     void atTheEndOfTheirWaitAllAreToldTheVersion() {
         allWait();
-        telling.durable(first.changed(1, List.of()));
+        served.durable(first.withChanges(1, List.of()));
         calls.news();
         clock.advanceTimeBy(9_999, TimeUnit.MILLISECONDS);
         clock.runScheduledPendingTasks();
@@ -102,9 +102,9 @@
     void whoIsGoneIsForgotten() {
         allWait();
         nodes.forEach(EmbeddedChannel::close);
-        telling.durable(first.changed(1, List.of(new Change(ControlRig.CLASS, ControlRig.deadline(100)))));
+        served.durable(first.withChanges(1, List.of(new Change(ControlRig.CLASS, ControlRig.deadline(100)))));
         calls.news();
         assertEquals(0, answered("").size());
-        assertEquals(new ConfigurationVersion(1, 1), telling.version());
+        assertEquals(new ConfigurationVersion(1, 1), served.version());
     }
 }
--- a/src/test/java/onyxpaddle/distribution/ConfigurationOverlayTest.java
+++ b/src/test/java/onyxpaddle/distribution/ConfigurationOverlayTest.java
@@ -44,7 +44,7 @@
         Faults sound = new Faults();
         Value value = SourceFile.parse("node.yaml", base, sound);
         assertFalse(sound.any());
-        return ConfigurationOverlay.lay(value, List.of(entries), faults);
+        return ConfigurationOverlay.apply(value, List.of(entries), faults);
     }
 
     private NodeConfig read(Value value) {
@@ -156,7 +156,7 @@
     void baseIsNotChanged() {
         Value base = SourceFile.parse("node.yaml", BASE, new Faults());
         String before = base.toString();
-        ConfigurationOverlay.lay(base, List.of(entry("fleet/pools.app", "null"), entry("fleet/classes", "null")), faults);
+        ConfigurationOverlay.apply(base, List.of(entry("fleet/pools.app", "null"), entry("fleet/classes", "null")), faults);
         assertEquals(before, base.toString());
     }
 }
--- a/src/test/java/onyxpaddle/distribution/ConfigurationTableTest.java
+++ b/src/test/java/onyxpaddle/distribution/ConfigurationTableTest.java
@@ -16,13 +16,13 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
-import onyxpaddle.distribution.ConfigurationTable.Applied;
+import onyxpaddle.distribution.ConfigurationTable.ApplyResult;
 import onyxpaddle.distribution.ConfigurationTable.Change;
 import onyxpaddle.distribution.ConfigurationTable.Outcome;
 import org.junit.jupiter.api.Test;
 
 class ConfigurationTableTest {
-    private static final Interest BOOKING = new Interest("n1", "booking");
+    private static final Subscription BOOKING = new Subscription("n1", "booking");
     private static final EntryKey ROUTES = EntryKey.parse("service/booking/routes");
     private static final EntryKey OTHERS = EntryKey.parse("service/reminders/routes");
     /** Few, so that random changes come to the same ones and tombstones are dropped. */
@@ -45,29 +45,29 @@
 
     @Property(tries = 500, seed = "41")
     void aDifferenceAppliedGivesWhatAWholeGives(@ForAll("steps") List<Step> steps) {
-        ConfigurationTable publisher = ConfigurationTable.keeping(FEW_TOMBSTONES).changed(1, List.of());
+        ConfigurationTable publisher = ConfigurationTable.keeping(FEW_TOMBSTONES).withChanges(1, List.of());
         ConfigurationTable node = ConfigurationTable.EMPTY;
         ConfigurationTable replica = ConfigurationTable.keeping(FEW_TOMBSTONES);
         ConfigurationTable nodeOfReplica = ConfigurationTable.EMPTY;
         for (Step step : steps) {
             long epoch = publisher.version().epoch() + (step.newEpoch() ? 1 : 0);
-            publisher = publisher.changed(epoch, step.changes());
+            publisher = publisher.withChanges(epoch, step.changes());
             if (!step.ask()) {
                 continue;
             }
             node = told(node, publisher, BOOKING);
-            replica = told(replica, publisher, Interest.ALL);
+            replica = told(replica, publisher, Subscription.ALL);
             nodeOfReplica = told(nodeOfReplica, replica, BOOKING);
             assertEquals(publisher.entries(BOOKING), node.entries(BOOKING));
-            assertEquals(publisher.entries(Interest.ALL), replica.entries(Interest.ALL));
+            assertEquals(publisher.entries(Subscription.ALL), replica.entries(Subscription.ALL));
             assertEquals(publisher.entries(BOOKING), nodeOfReplica.entries(BOOKING));
         }
     }
 
-    private static ConfigurationTable told(ConfigurationTable asker, ConfigurationTable teller, Interest interest) {
-        Update update = teller.difference(asker.version(), interest, 0);
-        update.entries().forEach(entry -> assertTrue(interest.concerns(entry.key()), entry.toString()));
-        Applied applied = asker.apply(update);
+    private static ConfigurationTable told(ConfigurationTable asker, ConfigurationTable teller, Subscription subscription) {
+        Update update = teller.deltaSince(asker.version(), subscription, 0);
+        update.entries().forEach(entry -> assertTrue(subscription.matches(entry.key()), entry.toString()));
+        ApplyResult applied = asker.apply(update);
         assertTrue(Set.of(Outcome.APPLIED, Outcome.UNCHANGED).contains(applied.outcome()), applied.outcome().toString());
         assertEquals(teller.version(), applied.table().version());
         return applied.table();
@@ -76,16 +76,16 @@
     @Property(tries = 200, seed = "42")
     void noOrderOfUpdatesTakesATableBackwards(@ForAll("steps") List<Step> steps, @ForAll List<Integer> order) {
         List<Update> updates = new ArrayList<>();
-        ConfigurationTable publisher = ConfigurationTable.first(1);
+        ConfigurationTable publisher = ConfigurationTable.initial(1);
         for (Step step : steps) {
-            publisher = publisher.changed(publisher.version().epoch() + (step.newEpoch() ? 1 : 0), step.changes());
-            updates.add(publisher.whole(BOOKING, 0));
+            publisher = publisher.withChanges(publisher.version().epoch() + (step.newEpoch() ? 1 : 0), step.changes());
+            updates.add(publisher.fullUpdate(BOOKING, 0));
         }
         ConfigurationTable table = ConfigurationTable.EMPTY;
         for (int index : order) {
             Update update = updates.get(Math.floorMod(index, updates.size()));
             ConfigurationTable before = table;
-            Applied applied = before.apply(update);
+            ApplyResult applied = before.apply(update);
             table = applied.table();
             assertFalse(before.version().isAfter(table.version()));
             boolean older = before.version().isAfter(update.version());
@@ -98,27 +98,27 @@
 
     @Test
     void aThousandVersionsBehindGetsOneDifferenceWithTheNewestValues() {
-        ConfigurationTable table = ConfigurationTable.first(1);
-        ConfigurationVersion before = table.changed(1, List.of(new Change(OTHERS, "0"))).version();
+        ConfigurationTable table = ConfigurationTable.initial(1);
+        ConfigurationVersion before = table.withChanges(1, List.of(new Change(OTHERS, "0"))).version();
         for (int i = 0; i <= 1_000; i++) {
-            table = table.changed(1, List.of(new Change(i % 2 == 0 ? ROUTES : OTHERS, "v" + i)));
+            table = table.withChanges(1, List.of(new Change(i % 2 == 0 ? ROUTES : OTHERS, "v" + i)));
         }
-        Update update = table.difference(before, BOOKING, 0);
-        assertFalse(update.whole());
+        Update update = table.deltaSince(before, BOOKING, 0);
+        assertFalse(update.full());
         assertEquals(List.of(new Entry(ROUTES, "v1000", new ConfigurationVersion(1, 1001))), update.entries());
         assertEquals(table.version(), update.version());
     }
 
     @Test
     void aVersionThatTheNewEpochDoesNotGoBackToGetsAWhole() {
-        ConfigurationTable copied = ConfigurationTable.first(1).changed(1, List.of(new Change(ROUTES, "a")));
-        ConfigurationTable lost = copied.changed(1, List.of(new Change(ROUTES, "lost"), new Change(OTHERS, "lost")));
-        ConfigurationTable next = copied.changed(2, List.of());
+        ConfigurationTable copied = ConfigurationTable.initial(1).withChanges(1, List.of(new Change(ROUTES, "a")));
+        ConfigurationTable lost = copied.withChanges(1, List.of(new Change(ROUTES, "lost"), new Change(OTHERS, "lost")));
+        ConfigurationTable next = copied.withChanges(2, List.of());
         assertEquals(new ConfigurationVersion(2, 2), next.version());
-        assertFalse(next.difference(copied.version(), Interest.ALL, 0).whole());
-        Update update = next.difference(lost.version(), Interest.ALL, 0);
-        assertTrue(update.whole());
-        Applied applied = lost.apply(update);
+        assertFalse(next.deltaSince(copied.version(), Subscription.ALL, 0).full());
+        Update update = next.deltaSince(lost.version(), Subscription.ALL, 0);
+        assertTrue(update.full());
+        ApplyResult applied = lost.apply(update);
         assertEquals(Outcome.APPLIED, applied.outcome());
         assertEquals("a", applied.table().value(ROUTES));
         assertNull(applied.table().value(OTHERS));
@@ -126,9 +126,9 @@
 
     @Test
     void aDifferenceOfAnEpochThatDoesNotGoBackToTheTableIsAGap() {
-        ConfigurationTable copied = ConfigurationTable.first(1).changed(1, List.of(new Change(ROUTES, "a")));
-        ConfigurationTable lost = copied.changed(1, List.of(new Change(ROUTES, "lost")));
-        Update update = copied.changed(2, List.of()).difference(copied.version(), Interest.ALL, 0);
+        ConfigurationTable copied = ConfigurationTable.initial(1).withChanges(1, List.of(new Change(ROUTES, "a")));
+        ConfigurationTable lost = copied.withChanges(1, List.of(new Change(ROUTES, "lost")));
+        Update update = copied.withChanges(2, List.of()).deltaSince(copied.version(), Subscription.ALL, 0);
         assertEquals(Outcome.GAP, lost.apply(update).outcome());
         assertEquals(Outcome.GAP, ConfigurationTable.EMPTY.apply(update).outcome());
         assertEquals(Outcome.APPLIED, copied.apply(update).outcome());
@@ -136,72 +136,73 @@
 
     @Test
     void aReplicaKnowsTheEndOfAnEpochThatItSawOnlyInPart() {
-        ConfigurationTable early = ConfigurationTable.first(1).changed(1, List.of(new Change(ROUTES, "a")));
-        ConfigurationTable late = early.changed(1, List.of(new Change(ROUTES, "b")));
-        ConfigurationTable replica = told(early, late.changed(2, List.of()), Interest.ALL);
-        assertFalse(replica.difference(late.version(), BOOKING, 0).whole());
+        ConfigurationTable early = ConfigurationTable.initial(1).withChanges(1, List.of(new Change(ROUTES, "a")));
+        ConfigurationTable late = early.withChanges(1, List.of(new Change(ROUTES, "b")));
+        ConfigurationTable replica = told(early, late.withChanges(2, List.of()), Subscription.ALL);
+        assertFalse(replica.deltaSince(late.version(), BOOKING, 0).full());
     }
 
     @Test
     void whoIsAheadIsToldNothing() {
-        ConfigurationTable old = ConfigurationTable.first(1);
-        Update update = old.difference(new ConfigurationVersion(2, 5), BOOKING, 0);
+        ConfigurationTable old = ConfigurationTable.initial(1);
+        Update update = old.deltaSince(new ConfigurationVersion(2, 5), BOOKING, 0);
         assertEquals(old.version(), update.version());
-        assertFalse(update.whole());
-        assertEquals(Outcome.BEHIND, old.changed(2, List.of()).apply(update).outcome());
+        assertFalse(update.full());
+        assertEquals(Outcome.BEHIND, old.withChanges(2, List.of()).apply(update).outcome());
     }
 
     @Test
     void whatConcernsOthersIsNoNewsButMovesTheVersion() {
-        ConfigurationTable before = ConfigurationTable.first(1);
-        ConfigurationTable table = before.changed(1, List.of(new Change(OTHERS, "x")));
-        assertFalse(table.hasNews(before.version(), BOOKING));
-        assertTrue(table.hasNews(before.version(), Interest.ALL));
-        assertTrue(table.hasNews(before.version(), new Interest("n2", "reminders")));
-        Update update = table.difference(before.version(), BOOKING, 0);
+        ConfigurationTable before = ConfigurationTable.initial(1);
+        ConfigurationTable table = before.withChanges(1, List.of(new Change(OTHERS, "x")));
+        assertFalse(table.hasChangesSince(before.version(), BOOKING));
+        assertTrue(table.hasChangesSince(before.version(), Subscription.ALL));
+        assertTrue(table.hasChangesSince(before.version(), new Subscription("n2", "reminders")));
+        Update update = table.deltaSince(before.version(), BOOKING, 0);
         assertEquals(List.of(), update.entries());
         assertEquals(table.version(), update.version());
     }
 
     @Test
     void pagesApplyAllOrNothing() {
-        ConfigurationTable table = ConfigurationTable.first(1).changed(1, List.of(new Change(ROUTES, "a")))
-            .changed(1, List.of(new Change(OTHERS, "b")));
-        Update whole = table.whole(Interest.ALL, 0);
+        ConfigurationTable table = ConfigurationTable.initial(1).withChanges(1, List.of(new Change(ROUTES, "a")))
+            .withChanges(1, List.of(new Change(OTHERS, "b")));
+        Update whole = table.fullUpdate(Subscription.ALL, 0);
         Update first = new Update(whole.version(), true, true, whole.entries().subList(0, 1), 0, whole.history());
         assertEquals(Outcome.GAP, ConfigurationTable.EMPTY.apply(first).outcome());
-        UpdateAssembly assembly = new UpdateAssembly();
+        UpdateAssembler assembly = new UpdateAssembler();
         assertNull(assembly.add(first));
         // Between the pages one of the first page goes, and another changes.
-        ConfigurationTable later = table.changed(1, List.of(new Change(ROUTES, null), new Change(OTHERS, "c")));
-        Update rest = later.restOfWhole(first.lastChange(), assembly.wholeOf(), Interest.ALL, 0);
-        assertFalse(rest.whole());
-        Applied applied = ConfigurationTable.EMPTY.apply(assembly.add(rest));
+        ConfigurationTable later = table.withChanges(1, List.of(new Change(ROUTES, null), new Change(OTHERS, "c")));
+        Update rest = later.remainingFullUpdate(first.lastChange(), assembly.firstPageVersion(), Subscription.ALL, 0);
+        assertFalse(rest.full());
+        ApplyResult applied = ConfigurationTable.EMPTY.apply(assembly.add(rest));
         assertEquals(Outcome.APPLIED, applied.outcome());
-        assertEquals(later.entries(Interest.ALL), applied.table().entries(Interest.ALL));
-        assertFalse(assembly.begun());
+        assertEquals(later.entries(Subscription.ALL), applied.table().entries(Subscription.ALL));
+        assertFalse(assembly.inProgress());
     }
 
     @Test
     void aWholeBeginsAnewWhereRemovalsSinceItsFirstPageAreForgotten() {
-        ConfigurationTable table = ConfigurationTable.keeping(1).changed(1, List.of(new Change(ROUTES, "a"), new Change(OTHERS, "b")));
+        ConfigurationTable table = ConfigurationTable.keeping(1).withChanges(1, List.of(new Change(ROUTES, "a"), new Change(OTHERS, "b")));
         ConfigurationVersion pageOf = table.version();
-        ConfigurationTable later = table.changed(1, List.of(new Change(ROUTES, null))).changed(1, List.of(new Change(OTHERS, null)));
+        ConfigurationTable later = table.withChanges(1, List.of(new Change(ROUTES, null)))
+            .withChanges(1, List.of(new Change(OTHERS, null)));
         assertTrue(later.history().floor().isAfter(pageOf));
-        assertTrue(later.restOfWhole(pageOf, pageOf, Interest.ALL, 0).whole());
+        assertTrue(later.remainingFullUpdate(pageOf, pageOf, Subscription.ALL, 0).full());
     }
 
     @Test
     void behindTheDroppedTombstonesThereIsAWhole() {
-        ConfigurationTable table = ConfigurationTable.keeping(10).changed(1, List.of());
+        ConfigurationTable table = ConfigurationTable.keeping(10).withChanges(1, List.of());
         ConfigurationVersion start = table.version();
         for (int i = 0; i < 40; i++) {
-            table = table.changed(1, List.of(new Change(EntryKey.parse("fleet/pools.p" + i), null)));
-            long kept = table.whole(Interest.ALL, 0).entries().size();
+            table = table.withChanges(1, List.of(new Change(EntryKey.parse("fleet/pools.p" + i), null)));
+            long kept = table.fullUpdate(Subscription.ALL, 0).entries().size();
             assertTrue(kept <= 10, kept + " kept");
         }
-        assertTrue(table.difference(start, BOOKING, 0).whole());
-        assertFalse(table.difference(new ConfigurationVersion(1, 40), BOOKING, 0).whole());
+        assertTrue(table.deltaSince(start, BOOKING, 0).full());
+        assertFalse(table.deltaSince(new ConfigurationVersion(1, 40), BOOKING, 0).full());
     }
 
     @Test
--- a/src/test/java/onyxpaddle/distribution/FakeReplica.java
+++ b/src/test/java/onyxpaddle/distribution/FakeReplica.java
@@ -27,8 +27,8 @@
     /** At the end of an answer: nothing further comes, and the connection stays open until the replica is closed. */
     public static final String STALL = "<stall>";
 
-    /** At the start of an answer: all of it comes at {@link #release} only. */
-    public static final String LATE = "<late>";
+    /** At the start of an answer: all of it comes at {@link #releaseDelayedAnswers} only. */
+    public static final String DELAYED = "<late>";
 
     /** The calls, as they came. */
     public final BlockingQueue<Map<String, String>> calls = new LinkedBlockingQueue<>();
@@ -36,7 +36,7 @@
     private final List<Socket> sockets = new ArrayList<>();
     private final ConcurrentLinkedQueue<String> script = new ConcurrentLinkedQueue<>();
     private final CountDownLatch released = new CountDownLatch(1);
-    private ConfigurationTable table = ConfigurationTable.first(1);
+    private ConfigurationTable table = ConfigurationTable.initial(1);
     private long staleMs;
 
     /** On a port of the system's choice. */
@@ -50,7 +50,7 @@
     }
 
     /** The next calls are answered so, one after the other, in place of what the table says. */
-    public void answers(String... answers) {
+    public void enqueueAnswers(String... answers) {
         script.addAll(List.of(answers));
     }
 
@@ -69,13 +69,13 @@
 
     /** A change of one entry; {@code value} null takes it away. */
     public synchronized ConfigurationVersion publish(String key, String value) {
-        table = table.changed(table.version().epoch(), List.of(new Change(EntryKey.parse(key), value)));
+        table = table.withChanges(table.version().epoch(), List.of(new Change(EntryKey.parse(key), value)));
         notifyAll();
         return table.version();
     }
 
     /** Goes on from another table, such as that of another replica or an older one. */
-    public synchronized void use(ConfigurationTable other) {
+    public synchronized void setTable(ConfigurationTable other) {
         table = other;
         notifyAll();
     }
@@ -85,12 +85,12 @@
     }
 
     /** As if this long ago had been heard from the publisher; -1 for never. */
-    public synchronized void stale(long millis) {
+    public synchronized void setStaleMs(long millis) {
         staleMs = millis;
     }
 
     /** Lets late answers go. */
-    public void release() {
+    public void releaseDelayedAnswers() {
         released.countDown();
     }
 
@@ -147,9 +147,9 @@
                 calls.add(call);
                 String scripted = script.poll();
                 String answer = scripted == null ? told(call) : scripted;
-                if (answer.startsWith(LATE)) {
+                if (answer.startsWith(DELAYED)) {
                     released.await();
-                    answer = answer.substring(LATE.length());
+                    answer = answer.substring(DELAYED.length());
                 }
                 write(socket.getOutputStream(), answer.replace(STALL, ""));
                 if (answer.endsWith(STALL)) {
@@ -198,12 +198,12 @@
     }
 
     private synchronized String told(Map<String, String> call) throws InterruptedException {
-        Interest interest = new Interest(call.get("node"), call.get("service"));
+        Subscription subscription = new Subscription(call.get("node"), call.get("service"));
         ConfigurationVersion after = new ConfigurationVersion(Long.parseLong(call.get("epoch")), Long.parseLong(call.get("after")));
         long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(Long.parseLong(call.get("wait_ms")));
-        while (table.reaches(after) && !table.hasNews(after, interest) && end - System.nanoTime() > 0) {
+        while (table.hasHistorySince(after) && !table.hasChangesSince(after, subscription) && end - System.nanoTime() > 0) {
             wait(Math.max(1, TimeUnit.NANOSECONDS.toMillis(end - System.nanoTime())));
         }
-        return ok(table.difference(after, interest, staleMs));
+        return ok(table.deltaSince(after, subscription, staleMs));
     }
 }
--- a/src/test/java/onyxpaddle/distribution/WholeAnswerPacerTest.java
+++ b/src/test/java/onyxpaddle/distribution/FullUpdatePacerTest.java
@@ -8,12 +8,12 @@
 import java.util.List;
 import java.util.PriorityQueue;
 import java.util.Random;
-import onyxpaddle.distribution.WholeAnswerPacer.Admitted;
-import onyxpaddle.distribution.WholeAnswerPacer.Decision;
-import onyxpaddle.distribution.WholeAnswerPacer.Later;
+import onyxpaddle.distribution.FullUpdatePacer.Admitted;
+import onyxpaddle.distribution.FullUpdatePacer.Decision;
+import onyxpaddle.distribution.FullUpdatePacer.Deferred;
 import org.junit.jupiter.api.Test;
 
-class WholeAnswerPacerTest {
+class FullUpdatePacerTest {
     private static final long SECOND = 1_000_000_000L;
     private static final long RATE = 1 << 20;
     private static final int SIZE = 32 << 10;
@@ -26,7 +26,7 @@
 
     @Test
     void athousandCallersAtOnceAreSpreadWithinTheRate() {
-        WholeAnswerPacer pacer = new WholeAnswerPacer(RATE);
+        FullUpdatePacer pacer = new FullUpdatePacer(RATE);
         Random random = new Random(7);
         PriorityQueue<Call> calls = new PriorityQueue<>((a, b) -> Long.compare(a.at(), b.at()));
         for (int i = 0; i < 1_000; i++) {
@@ -38,8 +38,8 @@
             Call call = calls.remove();
             asked++;
             assertTrue(asked <= 2_000, "each asks twice at most");
-            Decision decision = pacer.ask(call.caller(), SIZE, call.at());
-            if (decision instanceof Later later) {
+            Decision decision = pacer.request(call.caller(), SIZE, call.at());
+            if (decision instanceof Deferred later) {
                 // As Retry-After says it, in whole seconds.
                 calls.add(new Call(call.caller(), call.at() + (later.waitNanos() + SECOND - 1) / SECOND * SECOND));
             } else {
@@ -52,7 +52,7 @@
             long bytes = 0;
             for (int to = from; to < sent.size(); to++) {
                 bytes += sent.get(to).bytes();
-                long span = sent.get(to).at() - sent.get(from).at() + WholeAnswerPacer.BURST_NANOS + WholeAnswerPacer.GRACE_NANOS;
+                long span = sent.get(to).at() - sent.get(from).at() + FullUpdatePacer.BURST_NANOS + FullUpdatePacer.GRACE_NANOS;
                 assertTrue(bytes <= (double) RATE * span / SECOND + SIZE, "in " + span + " ns " + bytes);
             }
         }
@@ -63,21 +63,21 @@
 
     @Test
     void whoComesTooLateHasToAskAnewAndItsTurnIsForgotten() {
-        WholeAnswerPacer pacer = new WholeAnswerPacer(RATE);
-        assertInstanceOf(Admitted.class, pacer.ask("a", 10 * RATE, 0));
-        Later later = assertInstanceOf(Later.class, pacer.ask("b", 10 * RATE, 0));
-        assertInstanceOf(Later.class, pacer.ask("c", 10 * RATE, 0));
-        long missed = later.waitNanos() + WholeAnswerPacer.GRACE_NANOS + 1;
-        Later again = assertInstanceOf(Later.class, pacer.ask("b", 10 * RATE, missed));
+        FullUpdatePacer pacer = new FullUpdatePacer(RATE);
+        assertInstanceOf(Admitted.class, pacer.request("a", 10 * RATE, 0));
+        Deferred later = assertInstanceOf(Deferred.class, pacer.request("b", 10 * RATE, 0));
+        assertInstanceOf(Deferred.class, pacer.request("c", 10 * RATE, 0));
+        long missed = later.waitNanos() + FullUpdatePacer.GRACE_NANOS + 1;
+        Deferred again = assertInstanceOf(Deferred.class, pacer.request("b", 10 * RATE, missed));
         assertTrue(again.waitNanos() > 10 * SECOND, "behind c");
     }
 
     @Test
     void reservedTurnsAreBounded() {
-        WholeAnswerPacer pacer = new WholeAnswerPacer(RATE);
-        for (int i = 0; i < 3 * WholeAnswerPacer.MOST_RESERVED; i++) {
-            pacer.ask("n" + i, SIZE, 0);
+        FullUpdatePacer pacer = new FullUpdatePacer(RATE);
+        for (int i = 0; i < 3 * FullUpdatePacer.MOST_RESERVED; i++) {
+            pacer.request("n" + i, SIZE, 0);
         }
-        assertEquals(WholeAnswerPacer.MOST_RESERVED, pacer.reserved());
+        assertEquals(FullUpdatePacer.MOST_RESERVED, pacer.reserved());
     }
 }
--- a/src/test/java/onyxpaddle/distribution/PublisherFenceTest.java
+++ b/src/test/java/onyxpaddle/distribution/PublisherFenceTest.java
@@ -10,13 +10,13 @@
     @Test
     void aPublisherIsFencedByAHigherEpochForGood() {
         PublisherFence fence = new PublisherFence(2, 1);
-        assertFalse(fence.hear(2));
+        assertFalse(fence.observe(2));
         assertFalse(fence.fenced());
-        assertTrue(fence.hear(3));
-        assertFalse(fence.hear(3));
-        assertFalse(fence.hear(2));
+        assertTrue(fence.observe(3));
+        assertFalse(fence.observe(3));
+        assertFalse(fence.observe(2));
         assertTrue(fence.fenced());
-        assertEquals(3, fence.highest());
+        assertEquals(3, fence.highestEpoch());
     }
 
     @Test
@@ -27,7 +27,7 @@
     @Test
     void aReplicaIsNeverFenced() {
         PublisherFence fence = new PublisherFence(0, 3);
-        assertTrue(fence.hear(4));
+        assertTrue(fence.observe(4));
         assertFalse(fence.fenced());
     }
 }
--- a/src/test/java/onyxpaddle/distribution/ReplicaFleetTest.java
+++ b/src/test/java/onyxpaddle/distribution/ReplicaFleetTest.java
@@ -77,13 +77,13 @@
             if (sent == number && down[call.replica()] == null) {
                 answeredAt = now;
                 answeredBy = call.replica();
-                send(selector.next(now, new Answered(500, false)));
+                send(selector.nextCall(now, new Answered(500, false)));
             }
         }
 
         private void fail(long sent) {
             if (sent == number) {
-                send(selector.next(now, new Failed()));
+                send(selector.nextCall(now, new Failed()));
             }
         }
 
@@ -116,7 +116,7 @@
         for (int i = 0; i < CLIENTS; i++) {
             Client client = new Client(i);
             clients.add(client);
-            at(now + starts.nextLong(10 * SECOND), () -> client.send(client.selector.first()));
+            at(now + starts.nextLong(10 * SECOND), () -> client.send(client.selector.firstCall()));
         }
         runUntil(now + 30 * SECOND);
     }
--- a/src/test/java/onyxpaddle/distribution/ReplicaSelectorTest.java
+++ b/src/test/java/onyxpaddle/distribution/ReplicaSelectorTest.java
@@ -36,12 +36,12 @@
 
     private Call after(Call call, Outcome outcome) {
         now += call.delay() + SECOND / 100;
-        return selector.next(now, outcome);
+        return selector.nextCall(now, outcome);
     }
 
     @Test
     void staysAndWaitsWhereItIsAnswered() {
-        Call first = selector.first();
+        Call first = selector.firstCall();
         assertEquals(0, first.waitMs());
         Call second = after(first, FRESH);
         assertEquals(new Call(first.replica(), 0, 2000, false), second);
@@ -51,13 +51,13 @@
 
     @Test
     void pagesAreAskedForAtTheSameReplicaAtOnce() {
-        Call first = selector.first();
+        Call first = selector.firstCall();
         assertEquals(new Call(first.replica(), 0, 0, false), after(first, new Answered(0, true)));
     }
 
     @Test
     void goesToAnotherReplicaAfterAFailureAndStaysThere() {
-        Call first = selector.first();
+        Call first = selector.firstCall();
         Call second = after(first, new Failed());
         assertNotEquals(first.replica(), second.replica());
         assertEquals(0, second.waitMs());
@@ -69,7 +69,7 @@
 
     @Test
     void triesEveryReplicaBeforeOneAgain() {
-        Call call = selector.first();
+        Call call = selector.firstCall();
         boolean[] tried = new boolean[FOUR.size()];
         for (int i = 0; i < FOUR.size(); i++) {
             assertFalse(tried[call.replica()]);
@@ -81,10 +81,10 @@
     @Test
     void oneReplicaAloneIsCalledAgainWithDelays() {
         ReplicaSelector alone = new ReplicaSelector("node-1", List.of("10.0.0.1:80"), new SplittableRandom(7));
-        Call call = alone.first();
+        Call call = alone.firstCall();
         long all = 0;
         for (int i = 0; i < 40; i++) {
-            call = alone.next(now, new Failed());
+            call = alone.nextCall(now, new Failed());
             all += call.delay();
             now += call.delay();
         }
@@ -96,14 +96,14 @@
     @Test
     void retryAfterIsKept() {
         ReplicaSelector two = new ReplicaSelector("node-1", FOUR.subList(0, 2), new SplittableRandom(7));
-        int busy = two.first().replica();
-        Call call = two.next(now, new Busy(8));
+        int busy = two.firstCall().replica();
+        Call call = two.nextCall(now, new Busy(8));
         long until = now + 8 * SECOND;
         int calls = 0;
         while (until - now - call.delay() > 0) {
             assertNotEquals(busy, call.replica());
             now += call.delay();
-            call = two.next(now, new Failed());
+            call = two.nextCall(now, new Failed());
             calls++;
         }
         assertTrue(calls >= 3, calls + " calls at the other one");
@@ -111,7 +111,7 @@
 
     @Test
     void whereAllAreBusyTheEarliestIsCalledInItsTime() {
-        Call call = selector.first();
+        Call call = selector.firstCall();
         long least = now;
         int earliest = -1;
         for (int seconds : new int[] {9, 4, 7, 8}) {
@@ -130,11 +130,11 @@
     @ValueSource(longs = {Long.MIN_VALUE, -1, 0, 31_536_000, Long.MAX_VALUE})
     void retryAfterThatMakesNoSenseIsBounded(long seconds) {
         ReplicaSelector alone = new ReplicaSelector("node-1", List.of("10.0.0.1:80"), new SplittableRandom(7));
-        alone.first();
+        alone.firstCall();
         long longest = 0;
         long sum = 0;
         for (int i = 0; i < 100; i++) {
-            Call call = alone.next(now, new Busy(seconds));
+            Call call = alone.nextCall(now, new Busy(seconds));
             now += call.delay();
             longest = Math.max(longest, call.delay());
             sum += call.delay();
@@ -145,7 +145,7 @@
 
     @Test
     void leavesAReplicaThatIsBehind() {
-        Call first = after(selector.first(), FRESH);
+        Call first = after(selector.firstCall(), FRESH);
         Call second = after(first, new Behind());
         assertNotEquals(first.replica(), second.replica());
         assertEquals(1, selector.failures());
@@ -153,7 +153,7 @@
 
     @Test
     void looksForAFresherReplicaAndStaysThere() {
-        Call probe = after(selector.first(), STALE);
+        Call probe = after(selector.firstCall(), STALE);
         assertTrue(probe.probe());
         assertEquals(0, probe.waitMs());
         Call next = after(probe, FRESH);
@@ -162,14 +162,14 @@
 
     @Test
     void staysWhereNoOtherIsFresher() {
-        Call first = selector.first();
+        Call first = selector.firstCall();
         Call probe = after(first, STALE);
         assertEquals(new Call(first.replica(), 0, 2000, false), after(probe, new Answered(-1, false)));
     }
 
     @Test
     void probeThatFailsCostsNothingElse() {
-        Call first = selector.first();
+        Call first = selector.firstCall();
         Call probe = after(first, STALE);
         assertEquals(new Call(first.replica(), 0, 2000, false), after(probe, new Failed()));
         assertEquals(0, selector.failures());
@@ -177,12 +177,12 @@
 
     @Test
     void neverHeardFromThePublisherIsStale() {
-        assertTrue(after(selector.first(), new Answered(-1, false)).probe());
+        assertTrue(after(selector.firstCall(), new Answered(-1, false)).probe());
     }
 
     @Test
     void allStaleAreAskedInTurnAndSeldom() {
-        Call call = selector.first();
+        Call call = selector.firstCall();
         long start = now;
         int probes = 0;
         boolean[] probed = new boolean[FOUR.size()];
@@ -200,7 +200,7 @@
 
     @Test
     void comesBackToItsPreferredReplicaAfterAWhile() {
-        Call first = selector.first();
+        Call first = selector.firstCall();
         Call call = after(after(first, new Failed()), FRESH);
         assertNotEquals(first.replica(), call.replica());
         long start = now;
@@ -216,9 +216,9 @@
     @Test
     void orderOfTheListDoesNotMatter() {
         for (int i = 0; i < 100; i++) {
-            Call one = new ReplicaSelector("node-" + i, FOUR, new SplittableRandom(1)).first();
+            Call one = new ReplicaSelector("node-" + i, FOUR, new SplittableRandom(1)).firstCall();
             List<String> other = List.of(FOUR.get(2), FOUR.get(0), FOUR.get(3), FOUR.get(1));
-            Call two = new ReplicaSelector("node-" + i, other, new SplittableRandom(2)).first();
+            Call two = new ReplicaSelector("node-" + i, other, new SplittableRandom(2)).firstCall();
             assertEquals(FOUR.get(one.replica()), other.get(two.replica()));
         }
     }
@@ -235,11 +235,11 @@
         ReplicaSelector any = new ReplicaSelector("n" + seed, addresses, new SplittableRandom(seed));
         long time = outcomes.nextLong();
         long lastProbe = time - 100 * SECOND;
-        Call call = any.first();
+        Call call = any.firstCall();
         for (int i = 0; i < 500; i++) {
             time += call.delay() + outcomes.nextLong(longestCall);
             boolean probed = call.probe();
-            call = any.next(time, outcome(outcomes));
+            call = any.nextCall(time, outcome(outcomes));
             assertTrue(call.replica() >= 0 && call.replica() < replicas);
             assertTrue(call.delay() >= 0 && call.delay() <= 11 * SECOND, "delay " + call.delay());
             assertTrue(call.waitMs() == 0 || call.waitMs() == 2000);
@@ -250,7 +250,7 @@
         }
         time += call.delay();
         for (int i = 0; i < 3; i++) {
-            call = any.next(time, FRESH);
+            call = any.nextCall(time, FRESH);
         }
         assertEquals(2000, call.waitMs());
         assertEquals(0, any.failures());
