--- a/src/test/java/onyxpaddle/distribution/SnapshotFileTest.java
+++ b/src/test/java/onyxpaddle/distribution/SnapshotFileTest.java
@@ -12,11 +12,11 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Arrays;
-import onyxpaddle.distribution.SnapshotFile.FellBack;
-import onyxpaddle.distribution.SnapshotFile.Found;
+import onyxpaddle.distribution.SnapshotFile.Fallback;
+import onyxpaddle.distribution.SnapshotFile.ReadResult;
 import onyxpaddle.distribution.SnapshotFile.Missing;
-import onyxpaddle.distribution.SnapshotFile.Sound;
-import onyxpaddle.distribution.SnapshotFile.Torn;
+import onyxpaddle.distribution.SnapshotFile.Intact;
+import onyxpaddle.distribution.SnapshotFile.Corrupt;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -33,7 +33,7 @@
         file = new SnapshotFile(state, "table");
     }
 
-    private Found readAnew() {
+    private ReadResult readAnew() {
         return new SnapshotFile(state, "table").read();
     }
 
@@ -41,8 +41,8 @@
         return text.getBytes(StandardCharsets.UTF_8);
     }
 
-    private static void assertSound(String text, Found found) {
-        assertArrayEquals(bytes(text), assertInstanceOf(Sound.class, found).bytes());
+    private static void assertSound(String text, ReadResult found) {
+        assertArrayEquals(bytes(text), assertInstanceOf(Intact.class, found).bytes());
     }
 
     @Test
@@ -66,7 +66,7 @@
         byte[] sound = Files.readAllBytes(newest);
         for (int length = 0; length < sound.length; length++) {
             Files.write(newest, Arrays.copyOf(sound, length));
-            FellBack found = assertInstanceOf(FellBack.class, readAnew(), "cut to " + length);
+            Fallback found = assertInstanceOf(Fallback.class, readAnew(), "cut to " + length);
             assertArrayEquals(bytes("first"), found.bytes());
             assertTrue(found.damage().contains("table.1"), found.damage());
         }
@@ -74,10 +74,10 @@
             byte[] changed = sound.clone();
             changed[at] ^= 0x10;
             Files.write(newest, changed);
-            assertArrayEquals(bytes("first"), assertInstanceOf(FellBack.class, readAnew(), "byte " + at).bytes());
+            assertArrayEquals(bytes("first"), assertInstanceOf(Fallback.class, readAnew(), "byte " + at).bytes());
         }
         Files.delete(newest);
-        assertInstanceOf(FellBack.class, readAnew());
+        assertInstanceOf(Fallback.class, readAnew());
     }
 
     @Test
@@ -106,7 +106,7 @@
         file.write(bytes("second"));
         Files.write(state.resolve("table.0"), bytes("noise"));
         Files.write(state.resolve("table.1"), bytes("noise"));
-        Torn torn = assertInstanceOf(Torn.class, readAnew());
+        Corrupt torn = assertInstanceOf(Corrupt.class, readAnew());
         assertTrue(torn.damage().contains("table.0") && torn.damage().contains("table.1"), torn.damage());
     }
 
@@ -133,7 +133,7 @@
 
     @Test
     void aStateTooLargeIsRefused() {
-        assertThrows(IOException.class, () -> file.write(new byte[SnapshotFile.MOST_BYTES + 1]));
+        assertThrows(IOException.class, () -> file.write(new byte[SnapshotFile.MAX_BYTES + 1]));
         assertEquals(new Missing(), readAnew());
     }
 }
--- a/src/test/java/onyxpaddle/distribution/UpdateJsonTest.java
+++ b/src/test/java/onyxpaddle/distribution/UpdateJsonTest.java
@@ -20,7 +20,7 @@
     @Test
     void whatIsWrittenIsRead() throws MalformedUpdateException {
         assertEquals(UPDATE, UpdateJson.read(UpdateJson.write(UPDATE)));
-        Update forNode = new Update(AT, false, true, List.of(), Update.NEVER_HEARD);
+        Update forNode = new Update(AT, false, true, List.of(), Update.NO_PUBLISHER_CONTACT);
         assertEquals(forNode, UpdateJson.read(UpdateJson.write(forNode)));
     }
 
@@ -74,16 +74,16 @@
 
     @Test
     void bytesEntriesAndValuesAreBounded() {
-        assertThrows(MalformedUpdateException.class, () -> UpdateJson.read(new byte[UpdateJson.MOST_BYTES + 1]));
+        assertThrows(MalformedUpdateException.class, () -> UpdateJson.read(new byte[UpdateJson.MAX_BYTES + 1]));
         List<Entry> many = new ArrayList<>();
-        for (int i = 0; i <= UpdateJson.MOST_ENTRIES; i++) {
+        for (int i = 0; i <= UpdateJson.MAX_ENTRIES; i++) {
             many.add(new Entry(new EntryKey(Scope.NODE, "n" + i, "routes"), "x", AT));
         }
-        byte[] most = UpdateJson.write(new Update(AT, true, false, many.subList(0, UpdateJson.MOST_ENTRIES), 0));
-        assertTrue(most.length < UpdateJson.MOST_BYTES);
+        byte[] most = UpdateJson.write(new Update(AT, true, false, many.subList(0, UpdateJson.MAX_ENTRIES), 0));
+        assertTrue(most.length < UpdateJson.MAX_BYTES);
         byte[] over = UpdateJson.write(new Update(AT, true, false, many, 0));
         assertThrows(MalformedUpdateException.class, () -> UpdateJson.read(over));
-        refused("{\"version\":\"1.1\",\"entries\":[{\"key\":\"fleet/routes\",\"value\":\"" + "x".repeat(Entry.LONGEST_VALUE + 1)
+        refused("{\"version\":\"1.1\",\"entries\":[{\"key\":\"fleet/routes\",\"value\":\"" + "x".repeat(Entry.MAX_VALUE_LENGTH + 1)
             + "\",\"changed\":\"1.1\"}]}", "exceeds");
     }
 }
--- a/src/test/java/onyxpaddle/rpc/ConnectionChoiceTest.java
+++ b/src/test/java/onyxpaddle/rpc/ConnectionSelectorTest.java
@@ -1,19 +1,19 @@
 package onyxpaddle.rpc;
 
-import static onyxpaddle.rpc.ConnectionChoice.DIAL;
-import static onyxpaddle.rpc.ConnectionChoice.NONE;
+import static onyxpaddle.rpc.ConnectionSelector.DIAL;
+import static onyxpaddle.rpc.ConnectionSelector.NONE;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
-import onyxpaddle.rpc.ConnectionChoice.Seen;
+import onyxpaddle.rpc.ConnectionSelector.Seen;
 import org.junit.jupiter.api.Test;
 
 /** Which connection carries the next call, and when one stalls. */
-class ConnectionChoiceTest {
+class ConnectionSelectorTest {
     private static final long MS = 1_000_000L;
-    private final ConnectionChoice choice = new ConnectionChoice(2);
+    private final ConnectionSelector choice = new ConnectionSelector(2);
 
     private static Seen sound(int inFlight) {
         return new Seen(inFlight, true, false);
--- a/src/test/java/onyxpaddle/rpc/EnvelopeAndErrorTest.java
+++ b/src/test/java/onyxpaddle/rpc/EnvelopeAndErrorTest.java
@@ -8,7 +8,7 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.StringLength;
-import onyxpaddle.rpc.OwnError.Code;
+import onyxpaddle.rpc.NodeError.Code;
 import org.junit.jupiter.api.Test;
 import org.msgpack.core.MessagePack;
 import org.msgpack.core.MessageUnpacker;
@@ -30,7 +30,7 @@
     @Test
     void errorsAreReadBackAndByALibrary() throws Exception {
         for (Code code : Code.values()) {
-            OwnError error = new OwnError(code, code.usual, code == Code.REFUSED ? 250 : 0);
+            NodeError error = new NodeError(code, code.usual, code == Code.REFUSED ? 250 : 0);
             ByteBuf out = Unpooled.buffer();
             error.write(out);
             try (MessageUnpacker unpacker = MessagePack.newDefaultUnpacker(out.array(), 0, out.readableBytes())) {
@@ -38,7 +38,7 @@
                 assertEquals("{\"lupinmount\":{\"code\":\"" + code.word() + "\",\"message\":\"" + code.usual + "\""
                     + (code == Code.REFUSED ? ",\"retry_after\":250" : "") + "}}", json);
             }
-            assertEquals(error, OwnError.read(out));
+            assertEquals(error, NodeError.read(out));
         }
     }
 
@@ -47,7 +47,7 @@
         for (String hex : new String[] {"", "c0", "05", "a3626164", "80", "81a16105", "81aa6c7570696e6d6f756e74c0",
             "81aa6c7570696e6d6f756e7480", "81aa6c7570696e6d6f756e7481a4636f6465a3626164",
             "82aa6c7570696e6d6f756e7480c0c0", "81aa6c7570696e6d6f756e7481a4636f6465a7"}) {
-            assertNull(OwnError.read(Unpooled.wrappedBuffer(io.netty.buffer.ByteBufUtil.decodeHexDump(hex))), hex);
+            assertNull(NodeError.read(Unpooled.wrappedBuffer(io.netty.buffer.ByteBufUtil.decodeHexDump(hex))), hex);
         }
     }
 }
--- a/src/test/java/onyxpaddle/rpc/FrameFuzzTest.java
+++ b/src/test/java/onyxpaddle/rpc/FrameFuzzTest.java
@@ -74,8 +74,8 @@
 
         void drop() {
             if (body != null) {
-                OwnError.read(body.whole());
-                Values.items(body.whole());
+                NodeError.read(body.whole());
+                MsgPackValues.arrayLength(body.whole());
                 body.release();
                 body = null;
             }
--- a/src/test/java/onyxpaddle/rpc/ValueScannerTest.java
+++ b/src/test/java/onyxpaddle/rpc/MsgPackScannerTest.java
@@ -18,7 +18,7 @@
 import org.msgpack.value.ValueFactory;
 
 /** Held against msgpack-core, which writes the values: the scanner ends where they end, and nowhere before. */
-class ValueScannerTest {
+class MsgPackScannerTest {
     @Provide
     Arbitrary<Value> values() {
         Arbitrary<Value> plain = Arbitraries.oneOf(
@@ -40,7 +40,7 @@
             packer.packValue(value);
             byte[] bytes = packer.toByteArray();
             ByteBuf in = Unpooled.wrappedBuffer(bytes, new byte[] {(byte) 0xc0, (byte) 0xc0});
-            ValueScanner scanner = new ValueScanner(64);
+            MsgPackScanner scanner = new MsgPackScanner(64);
             scanner.begin(bytes.length);
             int at = 0;
             while (at < bytes.length) {
@@ -67,12 +67,12 @@
             packer.packLong(of.get1()).packString(of.get2()).packArrayHeader((int) (of.get1() & 0xfffff))
                 .packBinaryHeader((int) (of.get1() & 0xfffff)).packNil().packBoolean(true);
             ByteBuf out = Unpooled.buffer();
-            MsgPack.whole(out, of.get1());
-            MsgPack.text(out, of.get2());
-            MsgPack.array(out, (int) (of.get1() & 0xfffff));
-            MsgPack.binaryHead(out, (int) (of.get1() & 0xfffff));
-            MsgPack.nil(out);
-            MsgPack.flag(out, true);
+            MsgPackWriter.whole(out, of.get1());
+            MsgPackWriter.text(out, of.get2());
+            MsgPackWriter.array(out, (int) (of.get1() & 0xfffff));
+            MsgPackWriter.binaryHead(out, (int) (of.get1() & 0xfffff));
+            MsgPackWriter.nil(out);
+            MsgPackWriter.flag(out, true);
             assertEquals(Unpooled.wrappedBuffer(packer.toByteArray()), out);
         }
     }
--- a/src/test/java/onyxpaddle/serve/DistributedConfigurationTest.java
+++ b/src/test/java/onyxpaddle/serve/DistributedConfigurationTest.java
@@ -23,7 +23,7 @@
 import onyxpaddle.distribution.ConfigurationVersion;
 import onyxpaddle.distribution.EntryKey;
 import onyxpaddle.distribution.FakeReplica;
-import onyxpaddle.distribution.Interest;
+import onyxpaddle.distribution.Subscription;
 import onyxpaddle.distribution.ReplicaSelector;
 import onyxpaddle.distribution.Update;
 import org.junit.jupiter.api.Test;
@@ -76,15 +76,15 @@
 
     @Test
     void pagesApplyTogether() throws Exception {
-        ConfigurationTable table = ConfigurationTable.first(1)
-            .changed(1, List.of(change("fleet/pools.app", app(5)))).changed(1, List.of(change("fleet/tenant", "kigali")));
-        Update whole = table.whole(new Interest("n1", "booking"), 0);
+        ConfigurationTable table = ConfigurationTable.initial(1)
+            .withChanges(1, List.of(change("fleet/pools.app", app(5)))).withChanges(1, List.of(change("fleet/tenant", "kigali")));
+        Update whole = table.fullUpdate(new Subscription("n1", "booking"), 0);
         Update first = new Update(table.version(), true, true, whole.entries().subList(0, 1), 0);
         Update second = new Update(table.version(), false, false, whole.entries().subList(1, 2), 0);
         try (FakeReplica replica = new FakeReplica(); HollowNode node = new HollowNode(null, replica)) {
-            replica.use(table);
+            replica.setTable(table);
             // The second page breaks off at first: the pages begin anew.
-            replica.answers(FakeReplica.ok(first), FakeReplica.RESET, FakeReplica.ok(first), FakeReplica.ok(second));
+            replica.enqueueAnswers(FakeReplica.ok(first), FakeReplica.RESET, FakeReplica.ok(first), FakeReplica.ok(second));
             node.start().get(20, TimeUnit.SECONDS);
             assertEquals(List.of(5), node.attempts());
             assertEquals("kigali", node.applied.get(0).tenant());
@@ -121,8 +121,8 @@
     void callsAfterAnswersAreSpaced() throws Exception {
         try (FakeReplica replica = new FakeReplica(); HollowNode node = new HollowNode(null, replica)) {
             String nothing = FakeReplica.ok(new Update(version(1, 0), false, false, List.of(), 0));
-            String whole = FakeReplica.ok(replica.table().whole(new Interest("n1", "booking"), 0));
-            replica.answers(whole, nothing, nothing, nothing, nothing, nothing, nothing, nothing);
+            String whole = FakeReplica.ok(replica.table().fullUpdate(new Subscription("n1", "booking"), 0));
+            replica.enqueueAnswers(whole, nothing, nothing, nothing, nothing, nothing, nothing, nothing);
             long start = System.nanoTime();
             node.start();
             for (int i = 0; i < 8; i++) {
@@ -140,7 +140,7 @@
     void brokenAnswerChangesNothingAndIsAskedForAgain(String fault) throws Exception {
         try (FakeReplica replica = new FakeReplica(); HollowNode node = new HollowNode(null, replica)) {
             replica.publish("fleet/pools.app", app(6));
-            String sound = FakeReplica.ok(replica.table().whole(new Interest("n1", "booking"), 0));
+            String sound = FakeReplica.ok(replica.table().fullUpdate(new Subscription("n1", "booking"), 0));
             String bad = switch (fault) {
                 case "reset" -> FakeReplica.RESET;
                 case "cut" -> sound.substring(0, sound.length() - 20);
@@ -153,7 +153,7 @@
                 case "busy" -> FakeReplica.busy("1");
                 default -> "HTTP/1.1 400 Bad\r\nContent-Length: 2\r\n\r\nno";
             };
-            replica.answers(bad);
+            replica.enqueueAnswers(bad);
             node.start().get(20, TimeUnit.SECONDS);
             node.awaitAttempts(6);
             // A start that had to wait long may have gone by the file alone before; nothing else was ever applied.
@@ -165,9 +165,9 @@
     @ValueSource(strings = {"1.3", "1.9"})
     void olderVersionIsNotTakenAndAnotherReplicaIsAsked(String old) throws Exception {
         try (FakeReplica one = new FakeReplica(); FakeReplica two = new FakeReplica(); HollowNode node = new HollowNode(state, one, two)) {
-            ConfigurationTable second = table(1, 4, 4).changed(2, List.of(change("fleet/pools.app", app(7))));
-            one.use(second);
-            two.use(second);
+            ConfigurationTable second = table(1, 4, 4).withChanges(2, List.of(change("fleet/pools.app", app(7))));
+            one.setTable(second);
+            two.setTable(second);
             node.start().get(20, TimeUnit.SECONDS);
             node.awaitAttempts(7);
             ConfigurationVersion held = second.version();
@@ -177,8 +177,8 @@
             FakeReplica used = one.calls.isEmpty() ? two : one;
             FakeReplica other = used == one ? two : one;
             other.calls.clear();
-            used.use(older);
-            used.answers(FakeReplica.ok(older.whole(new Interest("n1", "booking"), 0)));
+            used.setTable(older);
+            used.enqueueAnswers(FakeReplica.ok(older.fullUpdate(new Subscription("n1", "booking"), 0)));
             other.awaitCall("epoch", Long.toString(held.epoch()));
             assertEquals(held, node.configuration.currentStatus().inForce());
             assertEquals(List.of(7), node.attempts());
@@ -193,15 +193,15 @@
     void oldNewsThatArriveLateAreNotTaken() throws Exception {
         try (FakeReplica one = new FakeReplica(); FakeReplica two = new FakeReplica(); HollowNode node = new HollowNode(null, one, two)) {
             ConfigurationTable newest = table(1, 5, 5);
-            one.use(newest);
-            two.use(newest);
-            String late = FakeReplica.LATE + FakeReplica.ok(table(1, 3, 3).whole(new Interest("n1", "booking"), 0));
+            one.setTable(newest);
+            two.setTable(newest);
+            String late = FakeReplica.DELAYED + FakeReplica.ok(table(1, 3, 3).fullUpdate(new Subscription("n1", "booking"), 0));
             FakeReplica first = preferred(one, two);
             FakeReplica second = first == one ? two : one;
-            first.answers(late);
+            first.enqueueAnswers(late);
             node.start();
             second.awaitCall("after", "5");
-            first.release();
+            first.releaseDelayedAnswers();
             second.publish("fleet/pools.app", app(6));
             node.awaitAttempts(6);
             assertFalse(node.attempts().contains(3), node.attempts().toString());
@@ -265,7 +265,7 @@
     void startGoesOnFromWhatWasKept() throws Exception {
         runOnce(5);
         try (FakeReplica replica = new FakeReplica(); HollowNode node = new HollowNode(state, replica)) {
-            replica.use(table(1, 2, 6));
+            replica.setTable(table(1, 2, 6));
             node.start().get(20, TimeUnit.SECONDS);
             assertEquals(List.of(6), node.attempts());
             assertEquals("1", replica.calls.poll().get("after"));
@@ -276,7 +276,7 @@
     void olderThanWhatWasKeptIsNotTakenAtAStart() throws Exception {
         runOnce(5);
         try (FakeReplica replica = new FakeReplica(); HollowNode node = new HollowNode(state, replica)) {
-            replica.use(ConfigurationTable.first(1));
+            replica.setTable(ConfigurationTable.initial(1));
             node.start().get(20, TimeUnit.SECONDS);
             assertEquals(List.of(5), node.attempts());
         }
@@ -286,7 +286,7 @@
     void startWithAFaultyNewestGoesByWhatWasKept() throws Exception {
         runOnce(5);
         try (FakeReplica replica = new FakeReplica(); HollowNode node = new HollowNode(state, replica)) {
-            replica.use(table(1, 1, 5).changed(1, List.of(change("fleet/pools.app", "noise"))));
+            replica.setTable(table(1, 1, 5).withChanges(1, List.of(change("fleet/pools.app", "noise"))));
             node.start().get(20, TimeUnit.SECONDS);
             assertEquals(List.of(5), node.attempts());
             assertEquals(version(1, 2), node.configuration.currentStatus().refused());
@@ -349,7 +349,7 @@
         runOnce(5);
         try (FakeReplica replica = new FakeReplica(); HollowNode node = new HollowNode(state, replica)) {
             Files.createSymbolicLink(state.resolve("configuration-n1--booking.tmp"), full);
-            replica.use(table(1, 2, 6));
+            replica.setTable(table(1, 2, 6));
             node.start().get(20, TimeUnit.SECONDS);
             replica.awaitCall("in_force", "1.2");
             assertEquals(List.of(6), node.attempts());
@@ -388,17 +388,17 @@
 
     /** A table of so many versions, the last of which sets the attempts. */
     private static ConfigurationTable table(long epoch, int versions, int attempts) {
-        ConfigurationTable table = ConfigurationTable.first(epoch);
+        ConfigurationTable table = ConfigurationTable.initial(epoch);
         for (int i = 1; i < versions; i++) {
-            table = table.changed(epoch, List.of(change("fleet/tenant", "t" + i)));
+            table = table.withChanges(epoch, List.of(change("fleet/tenant", "t" + i)));
         }
-        return table.changed(epoch, List.of(change("fleet/pools.app", app(attempts))));
+        return table.withChanges(epoch, List.of(change("fleet/pools.app", app(attempts))));
     }
 
     /** Runs a node until version 1.1 with these attempts is kept, and gives the address of its replica, which is gone. */
     private InetSocketAddress runOnce(int attempts) throws Exception {
         try (FakeReplica replica = new FakeReplica(); HollowNode node = new HollowNode(state, replica)) {
-            replica.use(table(1, 1, attempts));
+            replica.setTable(table(1, 1, attempts));
             node.start().get(20, TimeUnit.SECONDS);
             assertEquals(List.of(attempts), node.attempts());
             return replica.address();
@@ -408,7 +408,7 @@
     /** The one that the node calls first. */
     private static FakeReplica preferred(FakeReplica one, FakeReplica two) {
         List<String> names = Stream.of(one, two).map(r -> "127.0.0.1:" + r.address().getPort()).toList();
-        return new ReplicaSelector("n1", names, new SplittableRandom(1)).first().replica() == 0 ? one : two;
+        return new ReplicaSelector("n1", names, new SplittableRandom(1)).firstCall().replica() == 0 ? one : two;
     }
 
     /** Where nothing listens. */
--- a/src/test/java/onyxpaddle/serve/HollowNode.java
+++ b/src/test/java/onyxpaddle/serve/HollowNode.java
@@ -17,7 +17,7 @@
 import onyxpaddle.config.SourceFile;
 import onyxpaddle.config.Value;
 import onyxpaddle.distribution.FakeReplica;
-import onyxpaddle.distribution.Interest;
+import onyxpaddle.distribution.Subscription;
 import onyxpaddle.node.SocketBuffers;
 
 /** A node without a data path: it notes the configurations that come. */
@@ -52,7 +52,8 @@
 
     HollowNode(String base, Path state, List<InetSocketAddress> replicas) {
         configuration = new DistributedConfiguration(
-            new DistributedConfiguration.Origin(new Interest("n1", "booking"), parsed(base), Path.of("."), MachineLimits.UNKNOWN, state),
+            new DistributedConfiguration.Origin(new Subscription("n1", "booking"), parsed(base), Path.of("."),
+                MachineLimits.UNKNOWN, state),
             new DistributedConfiguration.Control(group.next(), SocketBuffers.allocator(), replicas), worker, this::apply);
     }
 
--- a/src/test/java/onyxpaddle/serve/NodeWithControlTest.java
+++ b/src/test/java/onyxpaddle/serve/NodeWithControlTest.java
@@ -51,7 +51,7 @@
 
     private ControlProcess start(String id, long epoch, List<HostPort> follow) throws Exception {
         return ControlProcess.start(new ControlSettings(ANY, id, folder.resolve(id), epoch, List.of(), follow,
-            ControlSettings.USUAL_WHOLE_RATE));
+            ControlSettings.DEFAULT_FULL_UPDATE_RATE));
     }
 
     private static HostPort at(ControlProcess process) {
@@ -102,7 +102,7 @@
             HostPort same = at(replicas.get(i));
             String id = "r" + (i + 1);
             replicas.set(i, ControlProcess.start(new ControlSettings(same, id, folder.resolve(id), 0, List.of(), List.of(at(publisher)),
-                ControlSettings.USUAL_WHOLE_RATE)));
+                ControlSettings.DEFAULT_FULL_UPDATE_RATE)));
         }
         assertTrue(node.configuration.currentStatus().inForce().equals(new ConfigurationVersion(1, 2)));
     }
