--- a/src/main/java/onyxpaddle/rpc/CallTable.java
+++ b/src/main/java/onyxpaddle/rpc/CallTable.java
@@ -5,94 +5,100 @@
 import java.util.Map;
 
 /**
- * The calls on one connection to a server, by the node's own msgids. Each id is given once in the connection's life, so
- * that a reply that comes late, twice or for nothing can never be taken for another call's. Calls that were given up
- * hold their place until their reply has come, as the server may still be at work on them. Time in nanoseconds.
+ * The calls in flight on one connection to a server, keyed by the msgids that this node assigns. A msgid is never
+ * reused within a connection, so a late, duplicate or unsolicited reply can never be matched to another call. A call
+ * that was given up keeps its slot until its reply arrives, because the server may still be executing it. Times are
+ * in nanoseconds.
  */
 final class CallTable<C> {
-    /** What a reply is, besides the answer to a call that waits. */
-    enum Stray { LATE, UNKNOWN }
+    /** Kinds of replies that match no waiting call. */
+    enum UnmatchedReply { LATE, UNKNOWN }
 
-    private record Open<C>(C call, long since) {
+    private record Pending<C>(C call, long openedAt) {
     }
 
-    private final int most;
+    private final int maxInFlight;
     private final long lastId;
-    /** In the order in which they were opened. */
-    private final Map<Long, Open<C>> open = new LinkedHashMap<>();
-    /** And since when, in the same order. */
+    /** In the order of opening. */
+    private final Map<Long, Pending<C>> waiting = new LinkedHashMap<>();
+    /** Opening times of calls that were given up, in the order in which they were given up. */
     private final Map<Long, Long> givenUp = new LinkedHashMap<>();
     private long nextId;
 
-    /** {@code most}: calls at once, given up or not; {@code lastId}: after which no id is left. */
-    CallTable(int most, long lastId) {
-        this.most = most;
+    /**
+     * @param maxInFlight the limit of calls in flight, including those given up
+     * @param lastId the last msgid that may be assigned
+     */
+    CallTable(int maxInFlight, long lastId) {
+        this.maxInFlight = maxInFlight;
         this.lastId = lastId;
     }
 
-    /** Whether there is no place, or no id, for a further call. */
-    boolean full() {
-        return inFlight() >= most || spent();
+    /** Whether no slot or no msgid is left for another call. */
+    boolean isFull() {
+        return inFlight() >= maxInFlight || idsExhausted();
     }
 
-    /** Whether all ids have been given. */
-    boolean spent() {
+    boolean idsExhausted() {
         return nextId > lastId;
     }
 
-    /** Takes a call in; its id. */
+    /** Adds a call and returns its msgid. */
     long open(C call, long now) {
-        if (full()) {
-            throw new IllegalStateException("no place for a further call");
+        if (isFull()) {
+            throw new IllegalStateException("call table is full");
         }
-        open.put(nextId, new Open<>(call, now));
+        waiting.put(nextId, new Pending<>(call, now));
         return nextId++;
     }
 
-    /** The call that waits for this reply; null where none does: see {@link #stray}. */
-    C answered(long id) {
-        Open<C> call = open.remove(id);
+    /** Removes and returns the call that waits for this reply; null if there is none, see {@link #classifyUnmatched}. */
+    C complete(long id) {
+        Pending<C> call = waiting.remove(id);
         return call == null ? null : call.call();
     }
 
-    /** What a reply is that no call waits for. A late one frees its call's place. */
-    Stray stray(long id) {
-        return givenUp.remove(id) != null ? Stray.LATE : Stray.UNKNOWN;
+    /** Classifies a reply that no call waits for. A late reply frees the slot of its call. */
+    UnmatchedReply classifyUnmatched(long id) {
+        return givenUp.remove(id) != null ? UnmatchedReply.LATE : UnmatchedReply.UNKNOWN;
     }
 
-    /** The call is given up, and its reply may still come. */
+    /** Stops waiting for the reply of a call; the call keeps its slot, as the reply may still arrive. */
     void giveUp(long id) {
-        Open<C> call = open.remove(id);
+        Pending<C> call = waiting.remove(id);
         if (call != null) {
-            givenUp.put(id, call.since());
+            givenUp.put(id, call.openedAt());
         }
     }
 
-    /** The call will never reach the server: no reply to it can come. */
-    void withdraw(long id) {
-        open.remove(id);
+    /** Removes a call that will never reach the server, so that no reply can arrive. */
+    void discard(long id) {
+        waiting.remove(id);
     }
 
-    /** Calls that wait. */
+    /** The number of calls that wait for a reply. */
     int waiting() {
-        return open.size();
+        return waiting.size();
     }
 
-    /** Calls that the server may be at work on. */
+    /** The number of calls that the server may be executing, including those given up. */
     int inFlight() {
-        return open.size() + givenUp.size();
+        return waiting.size() + givenUp.size();
     }
 
-    /** When the call was opened that has been without a reply for longest, given up or not; {@link Long#MAX_VALUE} for none. */
-    long oldest() {
-        long waits = open.isEmpty() ? Long.MAX_VALUE : open.values().iterator().next().since();
-        return givenUp.isEmpty() ? waits : Math.min(waits, givenUp.values().iterator().next());
+    /**
+     * The opening time of the oldest waiting call or of the call that was given up first, whichever is earlier;
+     * {@link Long#MAX_VALUE} if there is neither.
+     */
+    long oldestOpenedAt() {
+        long oldestWaiting = waiting.isEmpty() ? Long.MAX_VALUE : waiting.values().iterator().next().openedAt();
+        return givenUp.isEmpty() ? oldestWaiting : Math.min(oldestWaiting, givenUp.values().iterator().next());
     }
 
-    /** All that wait, in the order in which they were opened; the table is empty after. */
-    List<C> end() {
-        List<C> all = open.values().stream().map(Open::call).toList();
-        open.clear();
+    /** Empties the table and returns the waiting calls in the order of opening. */
+    List<C> removeAll() {
+        List<C> all = waiting.values().stream().map(Pending::call).toList();
+        waiting.clear();
         givenUp.clear();
         return all;
     }
--- a/src/main/java/onyxpaddle/rpc/CallerConnection.java
+++ b/src/main/java/onyxpaddle/rpc/CallerConnection.java
@@ -16,123 +16,126 @@
 import onyxpaddle.node.Dispatcher;
 import onyxpaddle.node.Exchange;
 import onyxpaddle.node.Log;
-import onyxpaddle.node.SharedLimit;
 import onyxpaddle.node.RequestCounts;
+import onyxpaddle.node.SharedLimit;
 import onyxpaddle.rpc.NodeError.Code;
-import onyxpaddle.rpc.RpcCallRouter.Taken;
+import onyxpaddle.rpc.RpcCallRouter.RoutedCall;
 import onyxpaddle.rpc.RpcDropCounter.Dropped;
 import onyxpaddle.socket.PollableChannel;
 
 /**
- * One caller's connection, with many calls open at once, answered as their answers come. It is read no further while it
- * has as many calls open as it may, or leaves answers unread. What is not MessagePack-RPC ends it, after what was taken
- * has been answered.
+ * The connection of one caller, with many calls in progress whose answers are sent in the order in which they become
+ * available. Reading pauses while the limit of open calls is reached or the caller does not read its answers. Input
+ * that is not MessagePack-RPC ends the connection once the calls accepted before have been answered.
  */
 final class CallerConnection extends ChannelInboundHandlerAdapter implements FrameSink, FrontConnection {
-    private static final long SECOND = 1_000_000_000L;
-    /** How long a frame may take to come whole, and what a byte adds to that: as for HTTP. */
-    private static final long LONGEST_FRAME = 2_400_000_000L;
-    private static final long FOR_EACH_BYTE = SECOND / 64_000;
-    private static final long LONGEST_UNREAD = 5 * SECOND;
-    private static final long LINGER = SECOND;
-    private static final int MOST_READ_OFF = 256 * 1024;
-    /** Parameters too large are read over up to so many times what is taken, and answered; beyond, the connection ends. */
-    private static final int READ_OVER = 4;
-
-    private final RpcFront all;
+    private static final long NANOS_PER_SECOND = 1_000_000_000L;
+    /** A frame must be complete within this time, plus an allowance per byte. The values are the same as for HTTP. */
+    private static final long FRAME_TIMEOUT = 2_400_000_000L;
+    private static final long FRAME_TIMEOUT_PER_BYTE = NANOS_PER_SECOND / 64_000;
+    private static final long UNSENT_TIMEOUT = 5 * NANOS_PER_SECOND;
+    private static final long LINGER = NANOS_PER_SECOND;
+    private static final int MAX_DISCARDED_BYTES = 256 * 1024;
+    /**
+     * Parameters of up to this multiple of the size limit are read to their end, so that the call can be answered
+     * with an error. Beyond that the connection is closed.
+     */
+    private static final int OVERSIZE_FACTOR = 4;
+
+    private final RpcFront front;
     private final PollableChannel channel;
     private final FrameDecoder decoder;
-    private final Map<Long, OpenCall> open = new HashMap<>();
-    private int notices;
-    private final ArrayDeque<ByteBuf> ahead = new ArrayDeque<>();
+    private final Map<Long, OpenCall> openCalls = new HashMap<>();
+    private int openNotifications;
+    private final ArrayDeque<ByteBuf> pendingInput = new ArrayDeque<>();
     private boolean reading;
-    /** The last answer is given, or will be with the calls that are open: what still comes is read off. */
+    /** No further calls are read. Input is discarded, and the connection closes once the open calls have been answered. */
     private boolean closing;
-    private boolean shut;
-    private long readOff;
+    private boolean outputShutdown;
+    private long discardedBytes;
     private long idleSince;
     private long frameSince = -1;
-    private int unread;
-    private long unreadBytes;
-    private long unreadSince;
-    /** The call whose parameters come just now; null where they are not wanted. */
+    private int unsentAnswers;
+    private long unsentBytes;
+    private long unsentSince;
+    /** The call whose parameters are being read; null while parameters are to be ignored. */
     private OpenCall receiving;
 
-    /** A call from its head on; the one that hears its answer. */
+    /** A call whose head has been read; receives the answer of the exchange. */
     private final class OpenCall implements Caller {
         private final long msgid;
-        private final Taken taken;
+        private final RoutedCall routed;
         private final Exchange exchange;
         private NodeError refusal;
 
-        private OpenCall(long msgid, Taken taken) {
+        private OpenCall(long msgid, RoutedCall routed) {
             this.msgid = msgid;
-            this.taken = taken;
-            exchange = new Exchange(taken.terms(), taken.head(), new Body(taken.target().bytes(), -1,
-                taken.target().payload() + 5), this, taken.head().notification() ? 1 : Integer.MAX_VALUE);
+            this.routed = routed;
+            exchange = new Exchange(routed.terms(), routed.head(), new Body(routed.target().memory(), -1,
+                routed.target().maxPayload() + 5), this, routed.head().notification() ? 1 : Integer.MAX_VALUE);
         }
 
         @Override
         public boolean left(boolean unseen) {
-            boolean unread = unseen || !channel.config().isAutoRead();
-            return unread ? channel.poll() == PollableChannel.PollResult.END : !channel.isActive();
+            boolean mustPoll = unseen || !channel.config().isAutoRead();
+            return mustPoll ? channel.poll() == PollableChannel.PollResult.END : !channel.isActive();
         }
 
         @Override
         public void served(Answer answer) {
             if (msgid == NOTIFICATION) {
-                notices--;
-                goOn();
+                openNotifications--;
+                resumeReading();
             } else {
-                answered(this, answer.body().whole());
+                sendAnswer(this, answer.body().whole());
             }
         }
 
         @Override
-        public void refused(long retryAfter, Answer own) {
+        public void refused(long retryAfter, Answer serverAnswer) {
             long millis = retryAfter == 0 ? 0 : Math.max(1, retryAfter / 1_000_000L);
-            other(new NodeError(Code.REFUSED, Code.REFUSED.usual, millis), own);
+            finishWithError(new NodeError(Code.REFUSED, Code.REFUSED.defaultMessage, millis), serverAnswer);
         }
 
         @Override
-        public void failed(boolean late, Answer own) {
-            other(NodeError.of(late ? Code.LATE : Code.FAILED), own);
+        public void failed(boolean late, Answer serverAnswer) {
+            finishWithError(NodeError.of(late ? Code.LATE : Code.FAILED), serverAnswer);
         }
 
-        private void other(NodeError error, Answer own) {
+        private void finishWithError(NodeError error, Answer serverAnswer) {
             if (msgid == NOTIFICATION) {
-                notices--;
-                all.counts.add(Dropped.NOTIFICATION, all.clock().now(), taken.head().method() + ": " + error.message());
-                goOn();
-            } else if (own != null) {
-                answered(this, own.body().whole());
+                openNotifications--;
+                front.dropCounter.add(Dropped.NOTIFICATION, front.clock().now(), routed.head().method() + ": " + error.message());
+                resumeReading();
+            } else if (serverAnswer != null) {
+                sendAnswer(this, serverAnswer.body().whole());
             } else {
-                answered(this, body(error));
+                sendAnswer(this, encodeError(error));
             }
         }
     }
 
-    CallerConnection(RpcFront all, PollableChannel channel) {
-        this.all = all;
+    CallerConnection(RpcFront front, PollableChannel channel) {
+        this.front = front;
         this.channel = channel;
-        decoder = new FrameDecoder(FrameLimits.forPayload(READ_OVER * all.calls.largest()), this);
-        idleSince = all.clock().now();
+        decoder = new FrameDecoder(FrameLimits.forPayload(OVERSIZE_FACTOR * front.router.maxPayload()), this);
+        idleSince = front.clock().now();
     }
 
     boolean idle() {
-        return open.isEmpty() && notices == 0 && unread == 0;
+        return openCalls.isEmpty() && openNotifications == 0 && unsentAnswers == 0;
     }
 
     @Override
     public boolean uses(Dispatcher pool) {
-        // A notification has no entry of its own; while one is out, any pool may be meant.
-        return notices > 0 || receiving != null && receiving.taken.target().pool() == pool
-            || open.values().stream().anyMatch(c -> c.taken.target().pool() == pool);
+        // Notifications are only counted, so while one is open every pool must be assumed to be in use.
+        return openNotifications > 0 || receiving != null && receiving.routed.target().pool() == pool
+            || openCalls.values().stream().anyMatch(c -> c.routed.target().pool() == pool);
     }
 
     @Override
     public boolean waits() {
-        return notices > 0 || !open.isEmpty() || unread > 0;
+        return openNotifications > 0 || !openCalls.isEmpty() || unsentAnswers > 0;
     }
 
     @Override
@@ -149,27 +152,27 @@
 
     @Override
     public void channelActive(ChannelHandlerContext context) {
-        all.opened(this);
+        front.opened(this);
     }
 
     @Override
     public void channelRead(ChannelHandlerContext context, Object message) {
         ByteBuf in = (ByteBuf) message;
         if (closing) {
-            readOff += in.readableBytes();
+            discardedBytes += in.readableBytes();
             in.release();
-            if (readOff > MOST_READ_OFF) {
+            if (discardedBytes > MAX_DISCARDED_BYTES) {
                 close();
             }
             return;
         }
-        ahead.add(in);
+        pendingInput.add(in);
         read();
     }
 
-    /** Whether the caller must wait before more of its calls are read. */
-    private boolean mustWait() {
-        return open.size() + notices >= all.calls.mostOpen || !channel.isWritable();
+    /** Whether reading further calls must wait for answers to be given or sent. */
+    private boolean backpressured() {
+        return openCalls.size() + openNotifications >= front.router.maxOpenCalls || !channel.isWritable();
     }
 
     private void read() {
@@ -178,27 +181,28 @@
         }
         reading = true;
         try {
-            while (!closing && !ahead.isEmpty() && (decoder.midFrame() || !mustWait())) {
-                ByteBuf in = ahead.peek();
+            while (!closing && !pendingInput.isEmpty() && (decoder.midFrame() || !backpressured())) {
+                ByteBuf in = pendingInput.peek();
                 decoder.feed(in);
                 if (!in.isReadable()) {
-                    ahead.poll().release();
+                    pendingInput.poll().release();
                 }
             }
-            frameSince = !decoder.midFrame() ? -1 : frameSince < 0 ? all.clock().now() : frameSince;
+            frameSince = !decoder.midFrame() ? -1 : frameSince < 0 ? front.clock().now() : frameSince;
         } catch (FormatException e) {
-            all.counts.add(Dropped.MALFORMED, all.clock().now(), "caller " + channel.remoteAddress() + ": " + e.getMessage());
-            endAfterAnswers();
+            front.dropCounter.add(Dropped.MALFORMED, front.clock().now(), "caller " + channel.remoteAddress() + ": " + e.getMessage());
+            closeAfterAnswers();
         } finally {
             reading = false;
         }
-        // What is closing is read off; what waits is not read, so that the caller notices.
-        channel.config().setAutoRead(closing || ahead.isEmpty());
+        // A closing connection discards its input. Otherwise reading stops while input is pending, so that TCP flow
+        // control reaches the caller.
+        channel.config().setAutoRead(closing || pendingInput.isEmpty());
     }
 
-    /** Goes on with what was read before, once there is room. */
-    private void goOn() {
-        if (!reading && !ahead.isEmpty() && !closing) {
+    /** Processes pending input once there is room. */
+    private void resumeReading() {
+        if (!reading && !pendingInput.isEmpty() && !closing) {
             channel.eventLoop().execute(this::read);
         }
     }
@@ -206,7 +210,7 @@
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext context) {
         if (channel.isWritable()) {
-            goOn();
+            resumeReading();
         }
     }
 
@@ -215,29 +219,29 @@
     @Override
     public void call(long msgid, String method, int params, Envelope envelope) throws FormatException {
         receiving = null;
-        if (msgid != NOTIFICATION && open.containsKey(msgid)) {
-            // An answer to it could be taken for the other call's.
-            throw new FormatException("msgid " + msgid + " is open already");
+        if (msgid != NOTIFICATION && openCalls.containsKey(msgid)) {
+            // The caller could not tell which of the two calls an answer belongs to.
+            throw new FormatException("msgid " + msgid + " is already in use");
         }
-        boolean notice = msgid == NOTIFICATION;
-        Taken taken = all.calls.read(method, params, notice, envelope,
+        boolean notification = msgid == NOTIFICATION;
+        RoutedCall routed = front.router.route(method, params, notification, envelope,
             channel.remoteAddress().getAddress().getHostAddress());
-        if (taken == null) {
+        if (routed == null) {
             refuse(msgid, method, NodeError.of(Code.NO_METHOD));
-        } else if (all.refuses() || all.nearConnectionLimit()) {
-            taken.target().pool().countResult(taken.terms(), RequestCounts.RequestResult.BUSY);
+        } else if (front.refusesNewCalls() || front.nearConnectionLimit()) {
+            routed.target().pool().countResult(routed.terms(), RequestCounts.RequestResult.BUSY);
             refuse(msgid, method, NodeError.of(Code.REFUSED));
         } else {
-            receiving = new OpenCall(msgid, taken);
+            receiving = new OpenCall(msgid, routed);
             ByteBuf head = Unpooled.buffer(5);
-            MsgPackWriter.array(head, params);
+            MsgPackWriter.writeArrayHeader(head, params);
             payload(head);
         }
     }
 
     @Override
     public void reply(long msgid) throws FormatException {
-        throw new FormatException("a caller calls, and does not reply");
+        throw new FormatException("unexpected reply from a caller");
     }
 
     @Override
@@ -248,8 +252,8 @@
         }
         int more = bytes.readableBytes();
         if (!call.exchange.body.add(bytes)) {
-            // Nothing of it was sent on, so the caller may try again when there is room.
-            boolean large = call.exchange.body.size() + more > call.taken.target().payload();
+            // Nothing was sent to a server, so the caller may retry once memory is available.
+            boolean large = call.exchange.body.size() + more > call.routed.target().maxPayload();
             call.refusal = NodeError.of(large ? Code.TOO_LARGE : Code.REFUSED);
             call.exchange.body.release();
         }
@@ -257,7 +261,7 @@
 
     @Override
     public void errorEnded() {
-        throw new IllegalStateException("no reply has begun");
+        throw new IllegalStateException("no reply is being read");
     }
 
     @Override
@@ -267,100 +271,101 @@
         frameSince = -1;
         if (call != null) {
             if (call.refusal != null) {
-                call.taken.target().pool().countResult(call.taken.terms(),
+                call.routed.target().pool().countResult(call.routed.terms(),
                     call.refusal.code() == Code.REFUSED ? RequestCounts.RequestResult.BUSY : RequestCounts.RequestResult.FAILURE);
-                refuse(call.msgid, call.taken.head().method(), call.refusal);
+                refuse(call.msgid, call.routed.head().method(), call.refusal);
             } else {
                 if (call.msgid == NOTIFICATION) {
-                    notices++;
+                    openNotifications++;
                 } else {
-                    open.put(call.msgid, call);
+                    openCalls.put(call.msgid, call);
                 }
-                call.taken.target().pool().arrived(call.exchange, all.clock().earliestArrival());
+                call.routed.target().pool().arrived(call.exchange, front.clock().earliestArrival());
             }
         }
-        idleSince = all.clock().now();
-        return !closing && !mustWait();
+        idleSince = front.clock().now();
+        return !closing && !backpressured();
     }
 
-    /** Turns away what was never taken. */
+    /** Answers a call that was not accepted. */
     private void refuse(long msgid, String method, NodeError error) {
         if (msgid == NOTIFICATION) {
-            all.counts.add(Dropped.NOTIFICATION, all.clock().now(), method + ": " + error.message());
+            front.dropCounter.add(Dropped.NOTIFICATION, front.clock().now(), method + ": " + error.message());
         } else {
-            write(msgid, body(error));
+            writeReply(msgid, encodeError(error));
         }
     }
 
     // ---- answers ----
 
-    private static ByteBuf body(NodeError error) {
+    private static ByteBuf encodeError(NodeError error) {
         ByteBuf body = Unpooled.buffer(128);
         error.write(body);
-        MsgPackWriter.nil(body);
+        MsgPackWriter.writeNil(body);
         return body;
     }
 
-    private void answered(OpenCall call, ByteBuf body) {
-        open.remove(call.msgid);
-        // The answer goes on taking memory until the caller reads it, which it may do slowly.
-        SharedLimit.Share share = call.taken.target().bytes();
-        long held = body.readableBytes();
-        share.forceTake(held);
-        write(call.msgid, body).addListener(f -> share.giveBack(held));
-        idleSince = all.clock().now();
-        goOn();
+    private void sendAnswer(OpenCall call, ByteBuf body) {
+        openCalls.remove(call.msgid);
+        // The answer occupies memory until the caller reads it, which may take long.
+        SharedLimit.Share share = call.routed.target().memory();
+        long size = body.readableBytes();
+        share.forceTake(size);
+        writeReply(call.msgid, body).addListener(f -> share.giveBack(size));
+        idleSince = front.clock().now();
+        resumeReading();
     }
 
-    private ChannelFuture write(long msgid, ByteBuf body) {
+    private ChannelFuture writeReply(long msgid, ByteBuf body) {
         ByteBuf head = channel.alloc().buffer(16);
-        MsgPackWriter.array(head, 4);
-        MsgPackWriter.whole(head, 1);
-        MsgPackWriter.whole(head, msgid);
+        MsgPackWriter.writeArrayHeader(head, 4);
+        MsgPackWriter.writeUnsigned(head, 1);
+        MsgPackWriter.writeUnsigned(head, msgid);
         long bytes = head.readableBytes() + body.readableBytes();
-        if (unread++ == 0) {
-            unreadSince = all.clock().now();
+        if (unsentAnswers++ == 0) {
+            unsentSince = front.clock().now();
         }
-        unreadBytes += bytes;
-        ChannelFuture sent = channel.writeAndFlush(Unpooled.wrappedBuffer(head, body)).addListener(f -> {
-            unread--;
-            unreadBytes -= bytes;
-            unreadSince = all.clock().now();
+        unsentBytes += bytes;
+        ChannelFuture written = channel.writeAndFlush(Unpooled.wrappedBuffer(head, body)).addListener(f -> {
+            unsentAnswers--;
+            unsentBytes -= bytes;
+            unsentSince = front.clock().now();
         });
-        if (unreadBytes > all.mostUnread()) {
-            letGo();
+        if (unsentBytes > front.maxUnsentBytes()) {
+            disconnectSlowReader();
         } else if (closing) {
-            shutWhenDone();
+            shutdownOutputWhenDone();
         }
-        return sent;
+        return written;
     }
 
-    private void letGo() {
-        all.counts.add(Dropped.UNREAD, all.clock().now(), "caller " + channel.remoteAddress() + ": " + unreadBytes + " bytes");
+    private void disconnectSlowReader() {
+        front.dropCounter.add(Dropped.SLOW_READER, front.clock().now(),
+            "caller " + channel.remoteAddress() + ": " + unsentBytes + " bytes unsent");
         close();
     }
 
-    // ---- ends ----
+    // ---- closing ----
 
-    /** Reads no further call, answers those that are open, and closes. */
-    private void endAfterAnswers() {
+    /** Reads no further calls, answers the open ones, and closes the connection. */
+    private void closeAfterAnswers() {
         closing = true;
         frameSince = -1;
         if (receiving != null) {
             receiving.exchange.body.release();
             receiving = null;
         }
-        ahead.forEach(ByteBuf::release);
-        ahead.clear();
+        pendingInput.forEach(ByteBuf::release);
+        pendingInput.clear();
         channel.config().setAutoRead(true);
-        shutWhenDone();
+        shutdownOutputWhenDone();
     }
 
-    private void shutWhenDone() {
-        if (!shut && open.isEmpty()) {
-            shut = true;
-            idleSince = all.clock().now();
-            // Closing with bytes unread would reset the connection, and take answers along.
+    private void shutdownOutputWhenDone() {
+        if (!outputShutdown && openCalls.isEmpty()) {
+            outputShutdown = true;
+            idleSince = front.clock().now();
+            // Closing with unread input would reset the connection and lose answers that the caller has not read.
             channel.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(f -> channel.shutdownOutput());
         }
     }
@@ -368,39 +373,39 @@
     @Override
     public void compensateStall(long span, long now) {
         idleSince = Math.min(now, idleSince + span);
-        unreadSince = Math.min(now, unreadSince + span);
+        unsentSince = Math.min(now, unsentSince + span);
         frameSince = frameSince < 0 ? -1 : Math.min(now, frameSince + span);
     }
 
     @Override
     public void sweep(long now) {
-        if (unread > 0 && now - unreadSince > LONGEST_UNREAD) {
-            letGo();
+        if (unsentAnswers > 0 && now - unsentSince > UNSENT_TIMEOUT) {
+            disconnectSlowReader();
         } else if (closing) {
-            if (shut && unread == 0 && now - idleSince > LINGER) {
+            if (outputShutdown && unsentAnswers == 0 && now - idleSince > LINGER) {
                 close();
             }
-        } else if (frameSince >= 0 && now - frameSince > LONGEST_FRAME + all.calls.largest() * FOR_EACH_BYTE) {
-            all.counts.add(Dropped.MALFORMED, now, "caller " + channel.remoteAddress() + ": a frame did not come whole in time");
-            endAfterAnswers();
-        } else if (idle() && (all.ends(idleSince, now) || now - idleSince > all.calls.longestIdle) && safeToClose()) {
-            endAfterAnswers();
+        } else if (frameSince >= 0 && now - frameSince > FRAME_TIMEOUT + front.router.maxPayload() * FRAME_TIMEOUT_PER_BYTE) {
+            front.dropCounter.add(Dropped.MALFORMED, now, "caller " + channel.remoteAddress() + ": frame not complete within the timeout");
+            closeAfterAnswers();
+        } else if (idle() && (front.closesIdle(idleSince, now) || now - idleSince > front.router.idleTimeout) && safeToClose()) {
+            closeAfterAnswers();
         }
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
         closing = true;
-        all.closed(this);
-        ahead.forEach(ByteBuf::release);
-        ahead.clear();
+        front.closed(this);
+        pendingInput.forEach(ByteBuf::release);
+        pendingInput.clear();
         if (receiving != null) {
             receiving.exchange.body.release();
             receiving = null;
         }
-        List<OpenCall> left = List.copyOf(open.values());
-        open.clear();
-        left.forEach(c -> c.taken.target().pool().clientGone(c.exchange));
+        List<OpenCall> remaining = List.copyOf(openCalls.values());
+        openCalls.clear();
+        remaining.forEach(c -> c.routed.target().pool().clientGone(c.exchange));
     }
 
     @Override
--- a/src/main/java/onyxpaddle/rpc/FormatException.java
+++ b/src/main/java/onyxpaddle/rpc/FormatException.java
@@ -1,11 +1,14 @@
 package onyxpaddle.rpc;
 
-/** What a peer sent is not MessagePack-RPC, or goes beyond a bound; where the next frame would begin can't be known. */
+/**
+ * A peer sent bytes that are not MessagePack-RPC or exceed a limit. The connection cannot be resynchronised, as the
+ * start of the next frame is unknown.
+ */
 final class FormatException extends Exception {
     private static final long serialVersionUID = 1;
 
-    FormatException(String wrong) {
-        // What peers send costs no stack trace.
-        super(wrong, null, false, false);
+    FormatException(String message) {
+        // No stack trace, so that malformed input from peers stays cheap.
+        super(message, null, false, false);
     }
 }
--- a/src/main/java/onyxpaddle/rpc/FrameDecoder.java
+++ b/src/main/java/onyxpaddle/rpc/FrameDecoder.java
@@ -7,287 +7,289 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Reads frames of MessagePack-RPC (request {@code [0, msgid, method, params]}, response {@code [1, msgid, error,
- * result]}, notification {@code [2, method, params]}) from bytes in any split. It holds a frame's head alone, which is
- * bounded; the payload passes through as it is. Arrays may be framed in any format and integers in any width, as the
- * specification of MessagePack leaves that to the sender; a msgid must be one of 32 bits unsigned. Text within a payload
- * is not looked at: servers of before 2013 send binary as str.
+ * Incremental decoder of MessagePack-RPC frames: request {@code [0, msgid, method, params]}, response {@code [1,
+ * msgid, error, result]} and notification {@code [2, method, params]}. Only the header of a frame, whose size is
+ * limited, is buffered; the payload is forwarded unchanged as it arrives. Arrays and integers are accepted in any
+ * format, as the MessagePack specification leaves the choice to the sender; a msgid must be an unsigned 32-bit
+ * integer. Strings in the payload are not validated, because implementations that predate the 2013 revision send
+ * binary data as str.
  */
 final class FrameDecoder {
-    private static final int MOST_INTEGER = 9;
+    private static final int MAX_INTEGER_BYTES = 9;
     private static final long NO_VALUE = -1;
-    private static final long MOST_ID = 0xffffffffL;
+    private static final long MAX_MSGID = 0xffffffffL;
 
     private enum State {
-        FRAME_HEAD, TYPE, ID, METHOD, PARAMS_HEAD,
+        FRAME_HEADER, TYPE, ID, METHOD, PARAMS_HEADER,
         /** The first parameter may be the envelope. */
-        MARK,
+        ENVELOPE_PREFIX,
         ENVELOPE, PARAM, ERROR, RESULT
     }
 
     private final FrameLimits limits;
     private final FrameSink sink;
     private final MsgPackScanner scanner;
-    /** The bytes of the part of the head at hand. */
-    private final ByteBuf part;
-    private State state = State.FRAME_HEAD;
-    private boolean within;
+    /** The bytes of the header field being read. */
+    private final ByteBuf buffer;
+    private State state = State.FRAME_HEADER;
+    private boolean inFrame;
     private int type;
-    private long id;
+    private long msgid;
     private String method;
     private int params;
     private int paramsLeft;
-    private long frameLeft;
+    private long frameBytesLeft;
 
     FrameDecoder(FrameLimits limits, FrameSink sink) {
         this.limits = limits;
         this.sink = sink;
-        scanner = new MsgPackScanner(limits.deepest());
-        part = Unpooled.wrappedBuffer(new byte[Math.max(limits.method() + 5, limits.envelope() + 16)]).clear();
+        scanner = new MsgPackScanner(limits.maxDepth());
+        buffer = Unpooled.wrappedBuffer(new byte[Math.max(limits.maxMethodBytes() + 5, limits.maxEnvelopeBytes() + 16)]).clear();
     }
 
-    /** Whether a frame has begun and not ended. */
+    /** Whether a frame has begun and is not complete. */
     boolean midFrame() {
-        return within;
+        return inFrame;
     }
 
-    /** Reads on, as far as the bytes go or until the sink wants no further frame; its reader index shows how far. */
+    /** Reads from the buffer, advancing its reader index, until it is empty or the sink accepts no further frame. */
     void feed(ByteBuf in) throws FormatException {
-        boolean goOn = true;
-        while (goOn && in.isReadable()) {
-            if (!within) {
-                within = true;
-                frameLeft = limits.frame();
+        boolean proceed = true;
+        while (proceed && in.isReadable()) {
+            if (!inFrame) {
+                inFrame = true;
+                frameBytesLeft = limits.maxFrameBytes();
             }
-            goOn = step(in);
+            proceed = step(in);
         }
     }
 
     private boolean step(ByteBuf in) throws FormatException {
         switch (state) {
-            case FRAME_HEAD -> {
-                if (head(in)) {
-                    int items = items();
-                    if (items != 3 && items != 4) {
-                        throw new FormatException("a frame has 3 or 4 parts, not " + items);
+            case FRAME_HEADER -> {
+                if (readArrayHeader(in)) {
+                    int length = arrayLength();
+                    if (length != 3 && length != 4) {
+                        throw new FormatException("frame must be an array of 3 or 4 elements, not " + length);
                     }
-                    params = items;
-                    enter(State.TYPE, MOST_INTEGER);
+                    params = length;
+                    transition(State.TYPE, MAX_INTEGER_BYTES);
                 }
             }
             case TYPE -> {
-                if (gather(in)) {
-                    type((int) Math.min(3, integer("a frame's type")));
+                if (readValue(in)) {
+                    startFrame((int) Math.min(3, parseInteger("frame type")));
                 }
             }
             case ID -> {
-                if (gather(in)) {
-                    id = integer("a msgid");
-                    if (id > MOST_ID) {
-                        throw new FormatException("a msgid is of 32 bits, not " + Long.toUnsignedString(id));
+                if (readValue(in)) {
+                    msgid = parseInteger("msgid");
+                    if (msgid > MAX_MSGID) {
+                        throw new FormatException("msgid must fit in 32 bits: " + Long.toUnsignedString(msgid));
                     }
                     if (type == 0) {
-                        enter(State.METHOD, limits.method() + 5);
+                        transition(State.METHOD, limits.maxMethodBytes() + 5);
                     } else {
-                        sink.reply(id);
-                        enter(State.ERROR, frameLeft);
+                        sink.reply(msgid);
+                        transition(State.ERROR, frameBytesLeft);
                     }
                 }
             }
             case METHOD -> {
-                if (gather(in)) {
-                    method = text("a method's name");
-                    enter(State.PARAMS_HEAD, NO_VALUE);
+                if (readValue(in)) {
+                    method = parseString("method name");
+                    transition(State.PARAMS_HEADER, NO_VALUE);
                 }
             }
-            case PARAMS_HEAD -> {
-                if (head(in)) {
-                    params = items();
-                    if (params > frameLeft) {
-                        throw new FormatException(params + " parameters are claimed where " + frameLeft
-                            + " bytes are allowed");
+            case PARAMS_HEADER -> {
+                if (readArrayHeader(in)) {
+                    params = arrayLength();
+                    if (params > frameBytesLeft) {
+                        throw new FormatException(params + " parameters do not fit in the " + frameBytesLeft
+                            + " bytes left of the frame");
                     }
                     paramsLeft = params;
-                    enter(State.MARK, NO_VALUE);
+                    transition(State.ENVELOPE_PREFIX, NO_VALUE);
                     if (params == 0) {
-                        announce(null);
-                        return ended();
+                        emitCall(null);
+                        return endFrame();
                     }
                 }
             }
-            case MARK -> mark(in);
+            case ENVELOPE_PREFIX -> matchEnvelopePrefix(in);
             case ENVELOPE -> {
-                if (gather(in)) {
+                if (readValue(in)) {
                     params--;
                     paramsLeft--;
-                    announce(Envelope.read(part));
-                    return paramsLeft > 0 || ended();
+                    emitCall(Envelope.read(buffer));
+                    return paramsLeft > 0 || endFrame();
                 }
             }
             case PARAM -> {
-                if (pass(in) && --paramsLeft == 0) {
-                    return ended();
+                if (forwardValue(in) && --paramsLeft == 0) {
+                    return endFrame();
                 } else if (scanner.ended()) {
-                    scanner.begin(frameLeft);
+                    scanner.begin(frameBytesLeft);
                 }
             }
             case ERROR -> {
-                if (pass(in)) {
+                if (forwardValue(in)) {
                     sink.errorEnded();
-                    enter(State.RESULT, frameLeft);
+                    transition(State.RESULT, frameBytesLeft);
                 }
             }
             case RESULT -> {
-                if (pass(in)) {
-                    return ended();
+                if (forwardValue(in)) {
+                    return endFrame();
                 }
             }
         }
         return true;
     }
 
-    private void enter(State next, long most) {
+    private void transition(State next, long maxBytes) {
         state = next;
-        part.clear();
-        if (most != NO_VALUE) {
-            scanner.begin(Math.min(most, frameLeft));
+        buffer.clear();
+        if (maxBytes != NO_VALUE) {
+            scanner.begin(Math.min(maxBytes, frameBytesLeft));
         }
     }
 
-    private void type(int of) throws FormatException {
-        boolean notification = of == 2;
-        if (of > 2 || params != (notification ? 3 : 4)) {
-            throw new FormatException(of > 2 ? "a frame's type is 0, 1 or 2" : "a frame of type " + of + " has not "
-                + params + " parts");
+    private void startFrame(int frameType) throws FormatException {
+        boolean notification = frameType == 2;
+        if (frameType > 2 || params != (notification ? 3 : 4)) {
+            throw new FormatException(frameType > 2 ? "frame type must be 0, 1 or 2" : "frame of type " + frameType + " must not have "
+                + params + " elements");
         }
-        type = of;
-        id = FrameSink.NOTIFICATION;
+        type = frameType;
+        msgid = FrameSink.NOTIFICATION;
         if (notification) {
-            enter(State.METHOD, limits.method() + 5);
+            transition(State.METHOD, limits.maxMethodBytes() + 5);
         } else {
-            enter(State.ID, MOST_INTEGER);
+            transition(State.ID, MAX_INTEGER_BYTES);
         }
     }
 
-    /** The call's head is whole. */
-    private void announce(Envelope envelope) throws FormatException {
-        sink.call(id, method, params, envelope);
-        enter(State.PARAM, frameLeft);
+    /** The header of a call is complete. */
+    private void emitCall(Envelope envelope) throws FormatException {
+        sink.call(msgid, method, params, envelope);
+        transition(State.PARAM, frameBytesLeft);
     }
 
-    private boolean ended() throws FormatException {
-        within = false;
-        enter(State.FRAME_HEAD, NO_VALUE);
+    private boolean endFrame() throws FormatException {
+        inFrame = false;
+        transition(State.FRAME_HEADER, NO_VALUE);
         return sink.end();
     }
 
-    // ---- parts of the head ----
+    // ---- header fields ----
 
-    private void taken(int count) throws FormatException {
-        frameLeft -= count;
-        if (frameLeft < 0) {
-            throw new FormatException("the frame is longer than allowed");
+    private void consume(int count) throws FormatException {
+        frameBytesLeft -= count;
+        if (frameBytesLeft < 0) {
+            throw new FormatException("frame exceeds the size limit");
         }
     }
 
-    /** Gathers the head of an array; true once it is whole. */
-    private boolean head(ByteBuf in) throws FormatException {
-        part.writeByte(in.readByte());
-        taken(1);
-        int first = part.getByte(0) & 0xff;
+    /** Buffers the header of an array; true once it is complete. */
+    private boolean readArrayHeader(ByteBuf in) throws FormatException {
+        buffer.writeByte(in.readByte());
+        consume(1);
+        int first = buffer.getByte(0) & 0xff;
         if ((first & 0xf0) != 0x90 && first != 0xdc && first != 0xdd) {
-            throw new FormatException(state == State.FRAME_HEAD ? "a frame is an array" : "parameters are an array");
+            throw new FormatException(state == State.FRAME_HEADER ? "frame must be an array" : "parameters must be an array");
         }
-        return part.writerIndex() == (first == 0xdc ? 3 : first == 0xdd ? 5 : 1);
+        return buffer.writerIndex() == (first == 0xdc ? 3 : first == 0xdd ? 5 : 1);
     }
 
-    private int items() throws FormatException {
-        int first = part.getByte(0) & 0xff;
-        long items = first == 0xdc ? part.getUnsignedShort(1) : first == 0xdd ? part.getUnsignedInt(1) : first & 0x0f;
-        if (items > Integer.MAX_VALUE) {
-            throw new FormatException(items + " items are claimed");
+    private int arrayLength() throws FormatException {
+        int first = buffer.getByte(0) & 0xff;
+        long length = first == 0xdc ? buffer.getUnsignedShort(1) : first == 0xdd ? buffer.getUnsignedInt(1) : first & 0x0f;
+        if (length > Integer.MAX_VALUE) {
+            throw new FormatException(length + " items exceed the maximum array length");
         }
-        return (int) items;
+        return (int) length;
     }
 
-    /** Gathers one value of the head; true once it is whole. */
-    private boolean gather(ByteBuf in) throws FormatException {
+    /** Buffers one value of the header; true once it is complete. */
+    private boolean readValue(ByteBuf in) throws FormatException {
         int from = in.readerIndex();
         int to = scanner.scan(in, from, in.writerIndex());
-        if (to - from > part.writableBytes()) {
-            throw new FormatException("a part of the head is longer than allowed");
+        if (to - from > buffer.writableBytes()) {
+            throw new FormatException("header field exceeds the size limit");
         }
-        part.writeBytes(in, to - from);
-        taken(to - from);
+        buffer.writeBytes(in, to - from);
+        consume(to - from);
         return scanner.ended();
     }
 
-    private long integer(String of) throws FormatException {
-        int first = part.getByte(0) & 0xff;
+    private long parseInteger(String what) throws FormatException {
+        int first = buffer.getByte(0) & 0xff;
         long value = first < 0x80 ? first : switch (first) {
-            case 0xcc -> part.getUnsignedByte(1);
-            case 0xcd -> part.getUnsignedShort(1);
-            case 0xce -> part.getUnsignedInt(1);
-            case 0xcf, 0xd3 -> part.getLong(1);
-            case 0xd0 -> part.getByte(1);
-            case 0xd1 -> part.getShort(1);
-            case 0xd2 -> part.getInt(1);
+            case 0xcc -> buffer.getUnsignedByte(1);
+            case 0xcd -> buffer.getUnsignedShort(1);
+            case 0xce -> buffer.getUnsignedInt(1);
+            case 0xcf, 0xd3 -> buffer.getLong(1);
+            case 0xd0 -> buffer.getByte(1);
+            case 0xd1 -> buffer.getShort(1);
+            case 0xd2 -> buffer.getInt(1);
             default -> -1;
         };
         if (value < 0) {
-            throw new FormatException(of + " is an integer from 0 on");
+            throw new FormatException(what + " must be a non-negative integer");
         }
         return value;
     }
 
-    private String text(String of) throws FormatException {
-        int first = part.getByte(0) & 0xff;
-        int head = (first & 0xe0) == 0xa0 ? 1 : first == 0xd9 ? 2 : first == 0xda ? 3 : first == 0xdb ? 5 : 0;
-        int length = part.writerIndex() - head;
-        if (head == 0 || length == 0 || length > limits.method()) {
-            throw new FormatException(of + " is a text of 1 to " + limits.method() + " bytes");
+    private String parseString(String what) throws FormatException {
+        int first = buffer.getByte(0) & 0xff;
+        int headerLength = (first & 0xe0) == 0xa0 ? 1 : first == 0xd9 ? 2 : first == 0xda ? 3 : first == 0xdb ? 5 : 0;
+        int length = buffer.writerIndex() - headerLength;
+        if (headerLength == 0 || length == 0 || length > limits.maxMethodBytes()) {
+            throw new FormatException(what + " must be a string of 1 to " + limits.maxMethodBytes() + " bytes");
         }
-        return utf8(part, head, length, of);
+        return utf8(buffer, headerLength, length, what);
     }
 
-    static String utf8(ByteBuf of, int at, int length, String what) throws FormatException {
+    static String utf8(ByteBuf in, int index, int length, String what) throws FormatException {
         byte[] bytes = new byte[length];
-        of.getBytes(at, bytes);
+        in.getBytes(index, bytes);
         try {
             return StandardCharsets.UTF_8.newDecoder().decode(ByteBuffer.wrap(bytes)).toString();
         } catch (CharacterCodingException e) {
-            throw new FormatException(what + " is not UTF-8");
+            throw new FormatException(what + " is not valid UTF-8");
         }
     }
 
     // ---- payload ----
 
-    /** Compares the first parameter's first bytes with the mark of an envelope, and holds them until it is known. */
-    private void mark(ByteBuf in) throws FormatException {
-        if (in.getByte(in.readerIndex()) == Envelope.mark(part.writerIndex())) {
-            part.writeByte(in.readByte());
-            taken(1);
-            if (part.writerIndex() == Envelope.MARK_LENGTH) {
-                enter(State.ENVELOPE, limits.envelope());
+    /** Compares the start of the first parameter with the envelope prefix, and holds back the bytes while they match. */
+    private void matchEnvelopePrefix(ByteBuf in) throws FormatException {
+        if (in.getByte(in.readerIndex()) == Envelope.prefixByte(buffer.writerIndex())) {
+            buffer.writeByte(in.readByte());
+            consume(1);
+            if (buffer.writerIndex() == Envelope.PREFIX_LENGTH) {
+                transition(State.ENVELOPE, limits.maxEnvelopeBytes());
             }
             return;
         }
-        // What looked like an envelope's beginning is payload after all. It can't be a whole value yet.
-        ByteBuf held = part.copy();
-        frameLeft += held.readableBytes();
-        announce(null);
-        while (held.isReadable()) {
-            pass(held);
+        // Not an envelope, so the bytes held back are payload. As a strict part of the prefix they cannot contain a
+        // complete value.
+        ByteBuf replayed = buffer.copy();
+        frameBytesLeft += replayed.readableBytes();
+        emitCall(null);
+        while (replayed.isReadable()) {
+            forwardValue(replayed);
         }
     }
 
-    /** Passes the payload's value on; true once it is whole. */
-    private boolean pass(ByteBuf in) throws FormatException {
+    /** Forwards the bytes of a payload value to the sink; true once it is complete. */
+    private boolean forwardValue(ByteBuf in) throws FormatException {
         int from = in.readerIndex();
         int to = scanner.scan(in, from, in.writerIndex());
         sink.payload(in.slice(from, to - from));
         in.readerIndex(to);
-        taken(to - from);
+        consume(to - from);
         return scanner.ended();
     }
 }
--- a/src/main/java/onyxpaddle/rpc/FrameLimits.java
+++ b/src/main/java/onyxpaddle/rpc/FrameLimits.java
@@ -1,22 +1,21 @@
 package onyxpaddle.rpc;
 
 /**
- * Bounds of a frame.
+ * Limits that a {@link FrameDecoder} enforces.
  *
- * @param frame the most bytes of one
- * @param deepest the most arrays and maps within each other in a value
- * @param method the most bytes of a method's name
- * @param envelope the most bytes of an envelope
+ * @param maxFrameBytes the size of a frame
+ * @param maxDepth the nesting depth of arrays and maps in a value
+ * @param maxMethodBytes the length of a method name
+ * @param maxEnvelopeBytes the size of an envelope
  */
-record FrameLimits(long frame, int deepest, int method, int envelope) {
-    private static final int DEEPEST = 64;
-    private static final int METHOD = 256;
-    private static final int ENVELOPE = 1024;
-    /** For all that is not payload. */
-    private static final int HEAD = 2 * ENVELOPE;
+record FrameLimits(long maxFrameBytes, int maxDepth, int maxMethodBytes, int maxEnvelopeBytes) {
+    private static final int MAX_DEPTH = 64;
+    private static final int MAX_METHOD_BYTES = 256;
+    private static final int MAX_ENVELOPE_BYTES = 1024;
+    /** Allowance for everything but the payload. */
+    private static final int HEADER_BYTES = 2 * MAX_ENVELOPE_BYTES;
 
-    /** With so many bytes for the payload. */
-    static FrameLimits forPayload(long bytes) {
-        return new FrameLimits(bytes + HEAD, DEEPEST, METHOD, ENVELOPE);
+    static FrameLimits forPayload(long maxPayloadBytes) {
+        return new FrameLimits(maxPayloadBytes + HEADER_BYTES, MAX_DEPTH, MAX_METHOD_BYTES, MAX_ENVELOPE_BYTES);
     }
 }
--- a/src/main/java/onyxpaddle/rpc/MsgPackScanner.java
+++ b/src/main/java/onyxpaddle/rpc/MsgPackScanner.java
@@ -3,37 +3,36 @@
 import io.netty.buffer.ByteBuf;
 
 /**
- * Finds where one value ends, over any split of its bytes, and holds none of them. What a head claims (bytes, items) is
- * checked against the room left before anything relies on it; the memory it needs is that of its deepest nesting.
- * Formats by the MessagePack specification, "Formats"; 0xc1 is none.
+ * Finds the end of a value that arrives in pieces, without buffering any of it. Lengths and item counts are checked
+ * against the bytes that the value may still have before they are used; the memory needed depends only on the nesting
+ * depth. The formats are those of the MessagePack specification, section "Formats"; 0xc1 is not used there.
  */
 final class MsgPackScanner {
-    private enum Claim { BYTES, EXTENSION, ITEMS, PAIRS }
+    private enum LengthKind { DATA, EXTENSION, ITEMS, PAIRS }
 
-    /** Items still to come at each depth; at 0 the value itself. */
-    private final long[] left;
+    /** Items still to come at each nesting depth; index 0 is the value itself. */
+    private final long[] itemsLeft;
     private int depth;
     private boolean ended = true;
-    /** Bytes of the item at hand that mean nothing here. */
-    private long skip;
-    private Claim claim;
-    private int lengthBytes;
+    /** Bytes of the current item whose content is irrelevant here. */
+    private long dataLeft;
+    private LengthKind lengthKind;
+    private int lengthBytesLeft;
     private long length;
-    private long room;
+    private long bytesLeft;
 
-    /** {@code deepest}: the most arrays and maps within each other. */
-    MsgPackScanner(int deepest) {
-        left = new long[deepest + 1];
+    MsgPackScanner(int maxDepth) {
+        itemsLeft = new long[maxDepth + 1];
     }
 
-    /** A new value begins, which may have so many bytes. */
-    void begin(long most) {
+    /** Starts a new value of at most {@code maxBytes} bytes. */
+    void begin(long maxBytes) {
         depth = 0;
-        left[0] = 1;
+        itemsLeft[0] = 1;
         ended = false;
-        skip = 0;
-        lengthBytes = 0;
-        room = most;
+        dataLeft = 0;
+        lengthBytesLeft = 0;
+        bytesLeft = maxBytes;
     }
 
     boolean ended() {
@@ -41,115 +40,118 @@
     }
 
     /** How many more bytes the value may have. */
-    long room() {
-        return room;
+    long bytesLeft() {
+        return bytesLeft;
     }
 
-    /** Goes on from index {@code at}; returns the index after what was taken, which is {@code end} unless the value has ended. */
-    int scan(ByteBuf in, int at, int end) throws FormatException {
-        int next = at;
+    /**
+     * Continues at {@code index}. Returns the index after the last byte consumed, which is {@code end} unless the
+     * value has ended.
+     */
+    int scan(ByteBuf in, int index, int end) throws FormatException {
+        int next = index;
         while (next < end && !ended) {
-            if (skip > 0) {
-                int count = (int) Math.min(skip, end - next);
-                skip -= count;
-                room -= count;
+            if (dataLeft > 0) {
+                int count = (int) Math.min(dataLeft, end - next);
+                dataLeft -= count;
+                bytesLeft -= count;
                 next += count;
-                if (skip == 0) {
+                if (dataLeft == 0) {
                     itemEnded();
                 }
                 continue;
             }
-            if (--room < 0) {
-                throw new FormatException("the frame is longer than allowed");
+            if (--bytesLeft < 0) {
+                throw new FormatException("frame exceeds the size limit");
             }
             int b = in.getByte(next++) & 0xff;
-            if (lengthBytes > 0) {
+            if (lengthBytesLeft > 0) {
                 length = length << 8 | b;
-                if (--lengthBytes == 0) {
-                    claimed();
+                if (--lengthBytesLeft == 0) {
+                    lengthRead();
                 }
             } else {
-                format(b);
+                readFormat(b);
             }
         }
         return next;
     }
 
-    private void format(int b) throws FormatException {
+    private void readFormat(int b) throws FormatException {
         if (b < 0x80 || b >= 0xe0) {
             itemEnded();
         } else if (b < 0x90) {
-            items(2L * (b & 0x0f));
+            beginItems(2L * (b & 0x0f));
         } else if (b < 0xa0) {
-            items(b & 0x0f);
+            beginItems(b & 0x0f);
         } else if (b < 0xc0) {
-            bytes(b & 0x1f);
+            beginData(b & 0x1f);
         } else {
             switch (b) {
                 case 0xc0, 0xc2, 0xc3 -> itemEnded();
-                case 0xc4, 0xd9 -> length(Claim.BYTES, 1);
-                case 0xc5, 0xda -> length(Claim.BYTES, 2);
-                case 0xc6, 0xdb -> length(Claim.BYTES, 4);
-                case 0xc7 -> length(Claim.EXTENSION, 1);
-                case 0xc8 -> length(Claim.EXTENSION, 2);
-                case 0xc9 -> length(Claim.EXTENSION, 4);
-                case 0xcc, 0xd0 -> bytes(1);
-                case 0xcd, 0xd1, 0xd4 -> bytes(2);
-                case 0xd5 -> bytes(3);
-                case 0xca, 0xce, 0xd2 -> bytes(4);
-                case 0xd6 -> bytes(5);
-                case 0xcb, 0xcf, 0xd3 -> bytes(8);
-                case 0xd7 -> bytes(9);
-                case 0xd8 -> bytes(17);
-                case 0xdc -> length(Claim.ITEMS, 2);
-                case 0xdd -> length(Claim.ITEMS, 4);
-                case 0xde -> length(Claim.PAIRS, 2);
-                case 0xdf -> length(Claim.PAIRS, 4);
-                default -> throw new FormatException("0xc1 begins no value");
+                case 0xc4, 0xd9 -> beginLength(LengthKind.DATA, 1);
+                case 0xc5, 0xda -> beginLength(LengthKind.DATA, 2);
+                case 0xc6, 0xdb -> beginLength(LengthKind.DATA, 4);
+                case 0xc7 -> beginLength(LengthKind.EXTENSION, 1);
+                case 0xc8 -> beginLength(LengthKind.EXTENSION, 2);
+                case 0xc9 -> beginLength(LengthKind.EXTENSION, 4);
+                case 0xcc, 0xd0 -> beginData(1);
+                case 0xcd, 0xd1, 0xd4 -> beginData(2);
+                case 0xd5 -> beginData(3);
+                case 0xca, 0xce, 0xd2 -> beginData(4);
+                case 0xd6 -> beginData(5);
+                case 0xcb, 0xcf, 0xd3 -> beginData(8);
+                case 0xd7 -> beginData(9);
+                case 0xd8 -> beginData(17);
+                case 0xdc -> beginLength(LengthKind.ITEMS, 2);
+                case 0xdd -> beginLength(LengthKind.ITEMS, 4);
+                case 0xde -> beginLength(LengthKind.PAIRS, 2);
+                case 0xdf -> beginLength(LengthKind.PAIRS, 4);
+                default -> throw new FormatException("0xc1 is not a valid format");
             }
         }
     }
 
-    private void length(Claim of, int count) {
-        claim = of;
-        lengthBytes = count;
+    private void beginLength(LengthKind kind, int count) {
+        lengthKind = kind;
+        lengthBytesLeft = count;
         length = 0;
     }
 
-    private void claimed() throws FormatException {
-        switch (claim) {
-            case BYTES -> bytes(length);
-            case EXTENSION -> bytes(length + 1);
-            case ITEMS -> items(length);
-            case PAIRS -> items(2 * length);
+    private void lengthRead() throws FormatException {
+        switch (lengthKind) {
+            case DATA -> beginData(length);
+            case EXTENSION -> beginData(length + 1);
+            case ITEMS -> beginItems(length);
+            case PAIRS -> beginItems(2 * length);
         }
     }
 
-    private void bytes(long count) throws FormatException {
-        if (count > room) {
-            throw new FormatException("a value claims " + count + " bytes where " + room + " are allowed");
+    private void beginData(long count) throws FormatException {
+        if (count > bytesLeft) {
+            throw new FormatException("value of " + count + " bytes exceeds the " + bytesLeft + " bytes left");
         }
-        skip = count;
+        dataLeft = count;
         if (count == 0) {
             itemEnded();
         }
     }
 
-    private void items(long count) throws FormatException {
-        if (count > room) {
-            throw new FormatException(count + " items are claimed where " + room + " bytes are allowed");
+    private void beginItems(long count) throws FormatException {
+        if (count > bytesLeft) {
+            throw new FormatException(count + " items do not fit in the " + bytesLeft + " bytes left");
         }
         if (count == 0) {
             itemEnded();
-        } else if (depth + 1 == left.length) {
-            throw new FormatException("arrays and maps lie within each other more than " + depth + " deep");
+        } else if (depth + 1 == itemsLeft.length) {
+            throw new FormatException("arrays and maps are nested more than " + depth + " levels deep");
         } else {
-            left[++depth] = count;
+            itemsLeft[++depth] = count;
         }
     }
 
     private void itemEnded() {
-        while (--left[depth] == 0) {
+        while (--itemsLeft[depth] == 0) {
             if (depth == 0) {
                 ended = true;
                 return;
--- a/src/main/java/onyxpaddle/rpc/MsgPackWriter.java
+++ b/src/main/java/onyxpaddle/rpc/MsgPackWriter.java
@@ -3,7 +3,7 @@
 import io.netty.buffer.ByteBuf;
 import java.nio.charset.StandardCharsets;
 
-/** Writes values in their shortest formats, as the MessagePack specification (revision of 2013, "Formats") has them. */
+/** Writes values in the shortest format of the MessagePack specification (revision of 2013, section "Formats"). */
 final class MsgPackWriter {
     static final int NIL = 0xc0;
     private static final int FALSE = 0xc2;
@@ -28,16 +28,16 @@
     private MsgPackWriter() {
     }
 
-    static void nil(ByteBuf out) {
+    static void writeNil(ByteBuf out) {
         out.writeByte(NIL);
     }
 
-    static void flag(ByteBuf out, boolean value) {
+    static void writeBoolean(ByteBuf out, boolean value) {
         out.writeByte(value ? TRUE : FALSE);
     }
 
-    /** Not negative. */
-    static void whole(ByteBuf out, long value) {
+    /** Writes an integer that is not negative. */
+    static void writeUnsigned(ByteBuf out, long value) {
         if (value < 0x80) {
             out.writeByte((int) value);
         } else if (value < 0x100) {
@@ -51,12 +51,12 @@
         }
     }
 
-    static void number(ByteBuf out, double value) {
+    static void writeDouble(ByteBuf out, double value) {
         out.writeByte(FLOAT64).writeDouble(value);
     }
 
-    /** The head of an array of so many items. */
-    static void array(ByteBuf out, int items) {
+    /** Writes the header of an array. */
+    static void writeArrayHeader(ByteBuf out, int items) {
         if (items < 16) {
             out.writeByte(FIXARRAY | items);
         } else if (items < 0x10000) {
@@ -66,19 +66,19 @@
         }
     }
 
-    /** The head of a map of so many pairs, 15 at most. */
-    static void map(ByteBuf out, int pairs) {
+    /** Writes the header of a map with at most 15 pairs. */
+    static void writeMapHeader(ByteBuf out, int pairs) {
         out.writeByte(FIXMAP | pairs);
     }
 
-    static void text(ByteBuf out, String text) {
+    static void writeString(ByteBuf out, String text) {
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
-        textHead(out, bytes.length);
+        writeStringHeader(out, bytes.length);
         out.writeBytes(bytes);
     }
 
-    /** The head of a str of so many bytes. */
-    static void textHead(ByteBuf out, int bytes) {
+    /** Writes the header of a str. */
+    static void writeStringHeader(ByteBuf out, int bytes) {
         if (bytes < 32) {
             out.writeByte(FIXSTR | bytes);
         } else if (bytes < 0x100) {
@@ -90,8 +90,8 @@
         }
     }
 
-    /** The head of a bin of so many bytes. */
-    static void binaryHead(ByteBuf out, int bytes) {
+    /** Writes the header of a bin. */
+    static void writeBinaryHeader(ByteBuf out, int bytes) {
         if (bytes < 0x100) {
             out.writeByte(BIN8).writeByte(bytes);
         } else if (bytes < 0x10000) {
--- a/src/main/java/onyxpaddle/rpc/NodeError.java
+++ b/src/main/java/onyxpaddle/rpc/NodeError.java
@@ -4,43 +4,44 @@
 import java.util.Locale;
 
 /**
- * An error that a node gives by itself, in place of an application's: a map with the one key {@code lupinmount}, whose
- * value is a map with {@code code}, {@code message} and, where there is advice, {@code retry_after} in milliseconds. An
- * application that turns calls away unseen says so with {@code refused} in the same form.
+ * An error that a node generates itself, as opposed to one of an application: a map with the single key {@code
+ * lupinmount}, whose value is a map with {@code code}, {@code message} and, if there is advice on when to retry,
+ * {@code retry_after} in milliseconds. An application that refuses calls without executing them reports {@code
+ * refused} in the same form.
  *
  * @param retryAfter in milliseconds; 0 for no advice
  */
 record NodeError(Code code, String message, long retryAfter) {
-    private static final int LONGEST_TEXT = 1024;
+    private static final int MAX_TEXT_BYTES = 1024;
 
-    /** What befell the call. */
+    /** Why the call has no result of an application. */
     enum Code {
-        /** It never ran: trying again is harmless. */
+        /** It never ran; a retry is safe. */
         REFUSED("refused, and never run: trying again is harmless"),
-        /** Whether it ran is not known. */
+        /** It is not known whether it ran. */
         FAILED("no server gave an answer; whether one acted on the call is not known"),
-        /** No answer came in time; whether it ran is not known. */
+        /** No answer arrived in time; it is not known whether it ran. */
         LATE("no answer in time; whether a server acted on the call is not known"),
-        /** The node routes no such method. It never ran. */
+        /** The node has no route for the method. It never ran. */
         NO_METHOD("no route for this method"),
-        /** The call is not one that the node takes. It never ran. */
+        /** The node does not accept such a call. It never ran. */
         REJECTED("not a call that this node takes"),
-        /** Its parameters have more bytes than the route takes. It never ran. */
+        /** The parameters exceed the limit of the route. It never ran. */
         TOO_LARGE("the parameters are larger than this route takes");
 
-        final String usual;
+        final String defaultMessage;
 
-        Code(String usual) {
-            this.usual = usual;
+        Code(String defaultMessage) {
+            this.defaultMessage = defaultMessage;
         }
 
-        String word() {
+        String wireName() {
             return name().toLowerCase(Locale.ROOT).replace('_', '-');
         }
 
-        static Code of(String word) {
+        static Code of(String wireName) {
             for (Code code : values()) {
-                if (code.word().equals(word)) {
+                if (code.wireName().equals(wireName)) {
                     return code;
                 }
             }
@@ -49,45 +50,45 @@
     }
 
     static NodeError of(Code code) {
-        return new NodeError(code, code.usual, 0);
+        return new NodeError(code, code.defaultMessage, 0);
     }
 
     void write(ByteBuf out) {
-        MsgPackWriter.map(out, 1);
-        MsgPackWriter.text(out, Envelope.NAME);
-        MsgPackWriter.map(out, retryAfter > 0 ? 3 : 2);
-        MsgPackWriter.text(out, "code");
-        MsgPackWriter.text(out, code.word());
-        MsgPackWriter.text(out, "message");
-        MsgPackWriter.text(out, message);
+        MsgPackWriter.writeMapHeader(out, 1);
+        MsgPackWriter.writeString(out, Envelope.NAME);
+        MsgPackWriter.writeMapHeader(out, retryAfter > 0 ? 3 : 2);
+        MsgPackWriter.writeString(out, "code");
+        MsgPackWriter.writeString(out, code.wireName());
+        MsgPackWriter.writeString(out, "message");
+        MsgPackWriter.writeString(out, message);
         if (retryAfter > 0) {
-            MsgPackWriter.text(out, "retry_after");
-            MsgPackWriter.whole(out, retryAfter);
+            MsgPackWriter.writeString(out, "retry_after");
+            MsgPackWriter.writeUnsigned(out, retryAfter);
         }
     }
 
-    /** Reads one from a reply's error, which has come whole; null where the error is an application's own. */
+    /** Parses the complete error of a reply; null if it is an error of an application. */
     static NodeError read(ByteBuf error) {
-        MsgPackReader value = new MsgPackReader(error, "the error");
+        MsgPackReader value = new MsgPackReader(error, "error");
         try {
-            if (!value.isMap() || value.map() != 1 || !value.text(LONGEST_TEXT).equals(Envelope.NAME)) {
+            if (!value.isMap() || value.readMapHeader() != 1 || !value.readString(MAX_TEXT_BYTES).equals(Envelope.NAME)) {
                 return null;
             }
             Code code = null;
             String message = "";
             double retryAfter = 0;
-            int pairs = value.map();
+            int pairs = value.readMapHeader();
             for (int i = 0; i < pairs; i++) {
-                switch (value.text(LONGEST_TEXT)) {
-                    case "code" -> code = Code.of(value.text(LONGEST_TEXT));
-                    case "message" -> message = value.text(LONGEST_TEXT);
-                    case "retry_after" -> retryAfter = value.number();
+                switch (value.readString(MAX_TEXT_BYTES)) {
+                    case "code" -> code = Code.of(value.readString(MAX_TEXT_BYTES));
+                    case "message" -> message = value.readString(MAX_TEXT_BYTES);
+                    case "retry_after" -> retryAfter = value.readNumber();
                     default -> value.skip();
                 }
             }
             return code == null ? null : new NodeError(code, message, (long) Math.max(0, retryAfter));
         } catch (FormatException | IndexOutOfBoundsException e) {
-            // It only looked like one: an application's error may be any value.
+            // An error of an application, which may be any value.
             return null;
         }
     }
--- a/src/main/java/onyxpaddle/rpc/ReplyHead.java
+++ b/src/main/java/onyxpaddle/rpc/ReplyHead.java
@@ -3,10 +3,10 @@
 import onyxpaddle.node.Metadata;
 
 /**
- * A reply as it goes to a caller; the body beside it is its error and its result, one behind the other.
+ * Head of a reply on its way to a caller. The accompanying body is the error followed by the result.
  *
- * @param errorBytes how many of the body's bytes are the error
- * @param failed the error is not nil
+ * @param errorBytes the length of the error at the start of the body
+ * @param failed whether the error is not nil
  */
 public record ReplyHead(int errorBytes, boolean failed) implements Metadata {
 }
--- a/src/main/java/onyxpaddle/rpc/RpcBridge.java
+++ b/src/main/java/onyxpaddle/rpc/RpcBridge.java
@@ -3,9 +3,9 @@
 import onyxpaddle.node.Answer;
 import onyxpaddle.node.Exchange;
 
-/** Lets calls of another protocol go to servers that speak this one. */
+/** Converts requests of another protocol for servers that speak MessagePack-RPC, and their replies. */
 public interface RpcBridge {
-    /** For calls of this protocol alone. */
+    /** Passes MessagePack-RPC calls through unchanged. */
     RpcBridge NONE = new RpcBridge() {
         @Override
         public RpcCallHead head(Exchange exchange) {
@@ -18,12 +18,13 @@
         }
     };
 
-    /** The call as it goes to a server. */
+    /** The head of the call to send to a server. */
     RpcCallHead head(Exchange exchange);
 
     /**
-     * The answer, whose head is a {@link ReplyHead}, as it goes to the caller; it takes the place of the one given. Null
-     * where there is no room for it.
+     * Converts a reply, whose head is a {@link ReplyHead}, to an answer for the caller.
+     *
+     * @return the answer, which replaces the one given; null if there is no memory for it
      */
     Answer answer(Exchange exchange, Answer answer);
 }
--- a/src/main/java/onyxpaddle/rpc/RpcCallHead.java
+++ b/src/main/java/onyxpaddle/rpc/RpcCallHead.java
@@ -3,15 +3,15 @@
 import onyxpaddle.node.Metadata;
 
 /**
- * A call's head as it goes to a server. The body beside it is the parameters' array whole, without the envelope.
+ * Head of a call on its way to a server. The accompanying body is the complete parameter array without the envelope.
  *
- * @param params how many parameters there are
- * @param notification no answer is asked for: it is served once the server has it
- * @param envelope what the caller said of it
- * @param mapped the path it is called by where a server speaks HTTP; null for none
- * @param caller whom it came from, in digits
+ * @param paramCount the number of parameters
+ * @param notification no reply is expected; the call is served once it has been sent to a server
+ * @param envelope the caller's metadata
+ * @param mapped the path of the request if the server speaks HTTP; null if the call cannot be sent by HTTP
+ * @param caller the IP address of the caller in text form
  */
-public record RpcCallHead(String method, int params, boolean notification, Envelope envelope, String mapped, String caller)
+public record RpcCallHead(String method, int paramCount, boolean notification, Envelope envelope, String mapped, String caller)
         implements Metadata {
     public RpcCallHead {
         if (envelope == null) {
@@ -19,17 +19,17 @@
         }
     }
 
-    /** A call that came by another protocol; {@code key} may be null. */
-    public static RpcCallHead of(String method, int params, String key, boolean retry, String caller) {
-        return new RpcCallHead(method, params, false, new Envelope(Double.NaN, key, null, retry, Double.NaN), null, caller);
+    /** The head of a request received by another protocol; {@code key} may be null. */
+    public static RpcCallHead of(String method, int paramCount, String key, boolean retry, String caller) {
+        return new RpcCallHead(method, paramCount, false, new Envelope(Double.NaN, key, null, retry, Double.NaN), null, caller);
     }
 
-    /** The key that the caller gave, or null. */
+    /** The idempotency key; null if the caller gave none. */
     public String key() {
         return envelope.key();
     }
 
-    /** Whether the caller has tried before. */
+    /** Whether the caller has already tried this call. */
     public boolean retry() {
         return envelope.retry();
     }
--- a/src/main/java/onyxpaddle/rpc/RpcCallRouter.java
+++ b/src/main/java/onyxpaddle/rpc/RpcCallRouter.java
@@ -9,113 +9,122 @@
 import onyxpaddle.route.Procedure;
 import onyxpaddle.route.ProcedureTable;
 
-/** What a listener makes of the calls that come to it: which pool, which class, how long the caller waits. */
+/**
+ * Routes the calls that arrive at a listener: selects the pool and the class of each call, and determines how long
+ * its caller waits.
+ */
 public final class RpcCallRouter {
-    /** Parts of the class's worth that a call may be given, the highest first. */
-    private static final double[] PARTS = {1, 0.5, 0.25};
-    private static final double MILLI = 1e6;
+    /** Factors by which the worth of a class may be scaled for a call, in descending order. */
+    private static final double[] WORTH_FACTORS = {1, 0.5, 0.25};
+    private static final double NANOS_PER_MILLI = 1e6;
 
-    /** A pool as calls see it; {@code payload}: the most bytes of parameters, and of a reply. */
-    public record Target(Dispatcher pool, SharedLimit.Share bytes, long payload) {
+    /**
+     * A pool to which calls are routed.
+     *
+     * @param memory the pool's share of the memory for bodies
+     * @param maxPayload the most bytes of the parameters of a call, and of a reply
+     */
+    public record Target(Dispatcher pool, SharedLimit.Share memory, long maxPayload) {
     }
 
     /**
-     * The kinds of one class: with a key and without, each for the parts of its worth, and for notifications, which are
-     * never repeated and whose time to an answer says nothing.
+     * The request classes derived from one configured class: with and without an idempotency key, each for every
+     * worth factor, and one for notifications, which are never repeated and whose response times are meaningless.
      */
     public record ClassVariants(RequestClass keyed, RequestClass unkeyed) {
-        private static final String[] PART_NAMES = {"", "/half", "/quarter"};
+        private static final String[] FACTOR_SUFFIXES = {"", "/half", "/quarter"};
 
-        /** All that a pool's module should know. */
+        /** All variants, to be declared to the decision module of a pool. */
         public java.util.List<RequestClass> all() {
             java.util.List<RequestClass> all = new java.util.ArrayList<>();
-            for (int part = 0; part < PARTS.length; part++) {
-                all.add(at(keyed, part));
+            for (int factor = 0; factor < WORTH_FACTORS.length; factor++) {
+                all.add(scaled(keyed, factor));
                 if (unkeyed != keyed) {
-                    all.add(at(unkeyed, part));
+                    all.add(scaled(unkeyed, factor));
                 }
             }
-            all.add(notice());
+            all.add(notification());
             return all;
         }
 
-        /** The kind for a call; {@code worth}: NaN where the caller doesn't say. */
-        RequestClass of(boolean hasKey, double worth) {
-            int part = 0;
-            while (part + 1 < PARTS.length && PARTS[part + 1] >= worth) {
-                part++;
+        /** The variant for a call; {@code worth} is NaN if the caller did not give it. */
+        RequestClass select(boolean hasKey, double worth) {
+            int factor = 0;
+            while (factor + 1 < WORTH_FACTORS.length && WORTH_FACTORS[factor + 1] >= worth) {
+                factor++;
             }
-            return at(hasKey ? keyed : unkeyed, part);
+            return scaled(hasKey ? keyed : unkeyed, factor);
         }
 
-        RequestClass notice() {
+        RequestClass notification() {
             return new RequestClass(keyed.name() + "/notice", onyxpaddle.BalancerApi.Effect.UNSAFE, keyed.group(), 0,
                 keyed.aim(), keyed.aimStretch(), keyed.deadline(), keyed.worth(), keyed.lateWorth(), false);
         }
 
-        private static RequestClass at(RequestClass c, int part) {
-            return part == 0 ? c : new RequestClass(c.name() + PART_NAMES[part], c.effect(), c.group(), c.keyRetention(), c.aim(),
-                c.aimStretch(), c.deadline(), c.worth() * PARTS[part], c.lateWorth(), false);
+        private static RequestClass scaled(RequestClass c, int factor) {
+            return factor == 0 ? c : new RequestClass(c.name() + FACTOR_SUFFIXES[factor], c.effect(), c.group(), c.keyRetention(), c.aim(),
+                c.aimStretch(), c.deadline(), c.worth() * WORTH_FACTORS[factor], c.lateWorth(), false);
         }
     }
 
-    /** A call that has a pool to go to. */
-    record Taken(Target target, Terms terms, RpcCallHead head) {
+    record RoutedCall(Target target, Terms terms, RpcCallHead head) {
     }
 
     private final ProcedureTable procedures;
     private final Map<String, Target> pools;
     private final Map<String, ClassVariants> classes;
     private final String tenant;
-    private final Supplier<String> ids;
-    final long longestIdle;
-    final int mostOpen;
+    private final Supplier<String> requestIds;
+    final long idleTimeout;
+    final int maxOpenCalls;
     private long maxCallerTimeout;
-    private long largest;
+    private long maxPayload;
 
     /**
-     * {@code tenant} may be null, and stands where a caller names none; {@code ids}: a new one for each call, among all
-     * of the node; {@code longestIdle}: of a connection without calls, in nanoseconds; {@code mostOpen}: calls at once
-     * on one connection.
+     * @param tenant used for calls that name none; may be null
+     * @param idleTimeout of a connection without calls, in nanoseconds
+     * @param maxOpenCalls the limit of calls in progress on one connection
+     * @param requestIds supplies an id that is unique within the node for each call
      */
     public RpcCallRouter(ProcedureTable procedures, Map<String, Target> pools, Map<String, ClassVariants> classes, String tenant,
-            long longestIdle, int mostOpen, Supplier<String> ids) {
+            long idleTimeout, int maxOpenCalls, Supplier<String> requestIds) {
         this.procedures = procedures;
         this.pools = Map.copyOf(pools);
         this.classes = Map.copyOf(classes);
         this.tenant = tenant;
-        this.longestIdle = longestIdle;
-        this.mostOpen = mostOpen;
-        this.ids = ids;
+        this.idleTimeout = idleTimeout;
+        this.maxOpenCalls = maxOpenCalls;
+        this.requestIds = requestIds;
         for (Procedure p : procedures.procedures()) {
             maxCallerTimeout = Math.max(maxCallerTimeout, classes.get(p.requestClass()).keyed().deadline());
-            largest = Math.max(largest, pools.get(p.pool()).payload());
+            maxPayload = Math.max(maxPayload, pools.get(p.pool()).maxPayload());
         }
     }
 
-    /** The longest that any caller here waits, in nanoseconds. */
+    /** The longest time that any caller of this listener waits, in nanoseconds. */
     long maxCallerTimeout() {
         return maxCallerTimeout;
     }
 
-    /** The most bytes of parameters that any procedure here takes. */
-    long largest() {
-        return largest;
+    /** The most bytes of parameters that any procedure of this listener accepts. */
+    long maxPayload() {
+        return maxPayload;
     }
 
-    /** Null where no procedure holds. */
-    Taken read(String method, int params, boolean notification, Envelope envelope, String caller) {
+    /** Returns null if no procedure matches the method. */
+    RoutedCall route(String method, int params, boolean notification, Envelope envelope, String caller) {
         Procedure procedure = procedures.find(method);
         if (procedure == null) {
             return null;
         }
         Target target = pools.get(procedure.pool());
-        Envelope said = envelope == null ? Envelope.NONE : envelope;
-        ClassVariants kinds = classes.get(procedure.requestClass());
-        RequestClass kind = notification ? kinds.notice() : kinds.of(said.key() != null, said.worth());
-        long callerTimeout = Double.isNaN(said.expires()) ? kind.deadline()
-            : (long) Math.min(kind.deadline(), said.expires() * MILLI);
-        Terms terms = new Terms(ids.get(), kind, callerTimeout, said.tenant() == null ? tenant : said.tenant(), 0, said.retry());
-        return new Taken(target, terms, new RpcCallHead(method, params, notification, said, procedure.mapped(method), caller));
+        Envelope metadata = envelope == null ? Envelope.NONE : envelope;
+        ClassVariants variants = classes.get(procedure.requestClass());
+        RequestClass requestClass = notification ? variants.notification() : variants.select(metadata.key() != null, metadata.worth());
+        long callerTimeout = Double.isNaN(metadata.expires()) ? requestClass.deadline()
+            : (long) Math.min(requestClass.deadline(), metadata.expires() * NANOS_PER_MILLI);
+        Terms terms = new Terms(requestIds.get(), requestClass, callerTimeout,
+            metadata.tenant() == null ? tenant : metadata.tenant(), 0, metadata.retry());
+        return new RoutedCall(target, terms, new RpcCallHead(method, params, notification, metadata, procedure.mapped(method), caller));
     }
 }
--- a/src/main/java/onyxpaddle/rpc/RpcConnection.java
+++ b/src/main/java/onyxpaddle/rpc/RpcConnection.java
@@ -15,29 +15,29 @@
 import onyxpaddle.rpc.RpcDropCounter.Dropped;
 
 /**
- * One connection to a server, with many calls on it. Calls wait in a queue of its own until the socket takes bytes, so
- * that one given up there never goes out. What breaks before a call's last byte is written has never run, what breaks
- * after it may have.
+ * One connection to a server that carries many calls. Calls wait in a queue until the channel is writable, so that a
+ * call given up while queued is never sent. If the connection breaks before the last byte of a call has been written,
+ * the call never ran; afterwards it may have.
  */
 final class RpcConnection extends ChannelInboundHandlerAdapter implements FrameSink {
-    private static final int CALL = 0;
-    private static final int NOTICE = 2;
+    private static final int TYPE_CALL = 0;
+    private static final int TYPE_NOTIFICATION = 2;
 
     final RpcUpstream.Peer peer;
-    private final RpcUpstream all;
+    private final RpcUpstream upstream;
     private final Channel channel;
     private final CallTable<Call> calls;
     private final FrameDecoder decoder;
-    /** Calls that the socket has not been given yet. */
+    /** Calls that have not been passed to the channel yet. */
     private final ArrayDeque<Call> queue = new ArrayDeque<>();
     private boolean connected;
     private boolean retired;
-    private boolean over;
-    private long heard;
+    private boolean closed;
+    private long lastReadAt;
     private long idleSince;
-    /** The call whose reply comes just now; null where nobody waits for it. */
-    private Call replying;
-    private Body reply;
+    /** The call whose reply is being read; null if no call waits for that reply. */
+    private Call replyingCall;
+    private Body replyBody;
     private boolean tooLarge;
     private int errorBytes;
 
@@ -46,7 +46,7 @@
         private final Attempt attempt;
         private final long sentAt;
         private long id = -1;
-        private boolean handedOver;
+        private boolean passedToChannel;
         private boolean notification;
 
         private Call(Attempt attempt, long now) {
@@ -55,59 +55,60 @@
         }
 
         void giveUp() {
-            if (!handedOver) {
+            if (!passedToChannel) {
                 queue.remove(this);
-                calls.withdraw(id);
+                calls.discard(id);
             } else if (!attempt.written()) {
-                // It lies in the socket's buffer and may go out at any time after: only the connection's end prevents it.
-                calls.withdraw(id);
+                // Part of it may still be buffered and be sent at any time; only closing the connection prevents that.
+                calls.discard(id);
                 close();
             } else {
                 calls.giveUp(id);
-                if (replying == this) {
-                    dropReply();
+                if (replyingCall == this) {
+                    discardReply();
                 }
             }
         }
     }
 
-    RpcConnection(RpcUpstream all, RpcUpstream.Peer peer, Channel channel, CallTable<Call> calls) {
-        this.all = all;
+    RpcConnection(RpcUpstream upstream, RpcUpstream.Peer peer, Channel channel, CallTable<Call> calls) {
+        this.upstream = upstream;
         this.peer = peer;
         this.channel = channel;
         this.calls = calls;
-        decoder = new FrameDecoder(FrameLimits.forPayload(all.terms.payload()), this);
-        idleSince = all.clock.now();
+        decoder = new FrameDecoder(FrameLimits.forPayload(upstream.options.maxPayload()), this);
+        idleSince = upstream.clock.now();
     }
 
-    // ---- what it is good for ----
+    // ---- state ----
 
-    ConnectionSelector.Seen seen(long now) {
-        boolean stalled = connected && (!channel.isWritable() || stalls(now));
-        return new ConnectionSelector.Seen(calls.inFlight(), !retired && !over && !calls.full(), stalled);
+    ConnectionSelector.ConnectionState state(long now) {
+        boolean stalled = connected && (!channel.isWritable() || isStalled(now));
+        return new ConnectionSelector.ConnectionState(calls.inFlight(), !retired && !closed && !calls.isFull(), stalled);
     }
 
-    private boolean stalls(long now) {
-        return peer.choice.stalls(calls.oldest(), heard, now);
+    private boolean isStalled(long now) {
+        return peer.selector.isStalled(calls.oldestOpenedAt(), lastReadAt, now);
     }
 
-    /** Takes no further call, and closes once none waits. */
+    /** Accepts no further calls, and closes the connection once no call waits. */
     void retire() {
         retired = true;
         peer.connections.remove(this);
-        // After the module has been told what has become of the server: it would send the same again otherwise.
+        // Deferred until the decision module has processed the change of the server; otherwise it would send the
+        // calls here again.
         channel.eventLoop().execute(() -> {
             for (Call call = queue.poll(); call != null; call = queue.poll()) {
-                calls.withdraw(call.id);
-                all.dispatcher.ended(call.attempt, Outcome.CONNECT_FAILED, null);
+                calls.discard(call.id);
+                upstream.dispatcher.ended(call.attempt, Outcome.CONNECT_FAILED, null);
             }
-            endIfDone();
+            closeIfDone();
         });
     }
 
     void close() {
-        over = true;
-        // Its place is free at once: until it has closed it would count, and serve nobody.
+        closed = true;
+        // Removed at once, as it would otherwise count towards the connection limit until it has closed.
         peer.connections.remove(this);
         channel.close();
     }
@@ -115,112 +116,115 @@
     void sweep(long now) {
         if (calls.waiting() > 0) {
             idleSince = now;
-        } else if (closeIfSpent(now)) {
+        } else if (closeIfExhausted(now)) {
             return;
-        } else if (now - idleSince >= all.terms.idle()) {
+        } else if (now - idleSince >= upstream.options.idleTimeout()) {
             close();
         }
     }
 
-    /** Closes it if no call waits and what it still owes holds its places, and will hardly come. */
-    boolean closeIfSpent(long now) {
-        boolean spent = connected && calls.waiting() == 0
-            && (calls.spent() || calls.inFlight() > 0 && (calls.full() || stalls(now)));
-        if (spent) {
+    /**
+     * Closes the connection if no call waits and it cannot take further calls: its msgids are used up, or calls that
+     * were given up occupy its slots and their replies are unlikely to arrive.
+     */
+    boolean closeIfExhausted(long now) {
+        boolean exhausted = connected && calls.waiting() == 0
+            && (calls.idsExhausted() || calls.inFlight() > 0 && (calls.isFull() || isStalled(now)));
+        if (exhausted) {
             close();
         }
-        return spent;
+        return exhausted;
     }
 
     // ---- calls ----
 
     void send(Attempt attempt) {
-        Call call = new Call(attempt, all.clock.now());
+        Call call = new Call(attempt, upstream.clock.now());
         attempt.carrier = call;
         call.id = calls.open(call, call.sentAt);
         queue.add(call);
         write();
     }
 
-    void connected() {
-        if (over) {
+    void onConnected() {
+        if (closed) {
             channel.close();
-            failed();
+            onConnectFailed();
             return;
         }
         connected = true;
-        heard = all.clock.now();
+        lastReadAt = upstream.clock.now();
         channel.pipeline().addLast(this);
         write();
     }
 
-    /** The dial has failed, so none of its calls has run. */
-    void failed() {
-        all.closed(this);
+    /** No connection was established, so none of its calls ran. */
+    void onConnectFailed() {
+        upstream.onClosed(this);
         queue.clear();
-        calls.end().forEach(call -> all.dispatcher.ended(call.attempt, Outcome.CONNECT_FAILED, null));
+        calls.removeAll().forEach(call -> upstream.dispatcher.ended(call.attempt, Outcome.CONNECT_FAILED, null));
     }
 
     private void write() {
         boolean any = false;
-        while (connected && !over && !queue.isEmpty() && channel.isWritable()) {
+        while (connected && !closed && !queue.isEmpty() && channel.isWritable()) {
             Call call = queue.poll();
-            if (!all.dispatcher.mayBegin(call.attempt)) {
-                calls.withdraw(call.id);
+            if (!upstream.dispatcher.mayBegin(call.attempt)) {
+                calls.discard(call.id);
                 continue;
             }
-            call.handedOver = true;
+            call.passedToChannel = true;
             any = true;
-            call.attempt.setLastWrite(channel.write(frame(call)).addListener(f -> written(call, f.isSuccess())));
+            call.attempt.setLastWrite(channel.write(encode(call)).addListener(f -> onWritten(call, f.isSuccess())));
         }
         if (any) {
             channel.flush();
         }
     }
 
-    private ByteBuf frame(Call call) {
-        Exchange x = call.attempt.exchange;
-        RpcCallHead head = all.bridge.head(x);
+    private ByteBuf encode(Call call) {
+        Exchange exchange = call.attempt.exchange;
+        RpcCallHead head = upstream.bridge.head(exchange);
         call.notification = head.notification();
-        ByteBuf out = channel.alloc().buffer(64 + head.method().length());
-        MsgPackWriter.array(out, head.notification() ? 3 : 4);
-        MsgPackWriter.whole(out, head.notification() ? NOTICE : CALL);
+        ByteBuf buffer = channel.alloc().buffer(64 + head.method().length());
+        MsgPackWriter.writeArrayHeader(buffer, head.notification() ? 3 : 4);
+        MsgPackWriter.writeUnsigned(buffer, head.notification() ? TYPE_NOTIFICATION : TYPE_CALL);
         if (!head.notification()) {
-            MsgPackWriter.whole(out, call.id);
+            MsgPackWriter.writeUnsigned(buffer, call.id);
         }
-        MsgPackWriter.text(out, head.method());
-        ByteBuf params = x.body.size() == 0 ? Unpooled.EMPTY_BUFFER : x.body.whole();
+        MsgPackWriter.writeString(buffer, head.method());
+        ByteBuf params = exchange.body.size() == 0 ? Unpooled.EMPTY_BUFFER : exchange.body.whole();
         if (params.isReadable()) {
-            // The array's head is written anew, as the envelope counts among the parameters.
-            params.skipBytes(arrayHead(params));
+            // The array header is rewritten, because the envelope counts as a parameter.
+            params.skipBytes(arrayHeaderLength(params));
         }
-        MsgPackWriter.array(out, head.params() + (all.terms.envelope() ? 1 : 0));
-        if (all.terms.envelope()) {
-            long now = all.clock.now();
-            double left = Math.max(0, Math.min(call.attempt.exchange.timeLeft(now), call.attempt.until - now)) / 1e6;
+        MsgPackWriter.writeArrayHeader(buffer, head.paramCount() + (upstream.options.sendEnvelope() ? 1 : 0));
+        if (upstream.options.sendEnvelope()) {
+            long now = upstream.clock.now();
+            double timeLeft = Math.max(0, Math.min(call.attempt.exchange.timeLeft(now), call.attempt.until - now)) / 1e6;
             Envelope from = head.envelope();
-            new Envelope(left, from.key(), from.tenant(), from.retry(), Double.NaN).write(out);
+            new Envelope(timeLeft, from.key(), from.tenant(), from.retry(), Double.NaN).write(buffer);
         }
-        return params.isReadable() ? Unpooled.wrappedBuffer(out, params) : out;
+        return params.isReadable() ? Unpooled.wrappedBuffer(buffer, params) : buffer;
     }
 
-    private static int arrayHead(ByteBuf array) {
+    private static int arrayHeaderLength(ByteBuf array) {
         int first = array.getUnsignedByte(array.readerIndex());
         return first == 0xdc ? 3 : first == 0xdd ? 5 : 1;
     }
 
-    private void written(Call call, boolean success) {
+    private void onWritten(Call call, boolean success) {
         if (!success) {
             close();
             return;
         }
         call.attempt.markWritten();
         if (call.notification && !call.attempt.ended()) {
-            // Nothing is answered: that the server has it is all there is to know.
-            calls.withdraw(call.id);
-            all.dispatcher.ended(call.attempt, Outcome.OK, new Answer(new ReplyHead(0, false),
-                new Body(all.budget.bytes(), 0, 0)));
-            endIfDone();
+            // A notification has no reply; it is complete once it has been written.
+            calls.discard(call.id);
+            upstream.dispatcher.ended(call.attempt, Outcome.OK, new Answer(new ReplyHead(0, false),
+                new Body(upstream.budget.bytes(), 0, 0)));
+            closeIfDone();
         }
     }
 
@@ -234,13 +238,13 @@
     @Override
     public void channelRead(ChannelHandlerContext context, Object message) {
         ByteBuf in = (ByteBuf) message;
-        heard = all.clock.now();
+        lastReadAt = upstream.clock.now();
         try {
-            while (in.isReadable() && !over) {
+            while (in.isReadable() && !closed) {
                 decoder.feed(in);
             }
         } catch (FormatException e) {
-            all.counts.add(Dropped.MALFORMED, heard, "server " + peer.server + ": " + e.getMessage());
+            upstream.dropCounter.add(Dropped.MALFORMED, lastReadAt, "server " + peer.server + ": " + e.getMessage());
             close();
         } finally {
             in.release();
@@ -249,64 +253,64 @@
 
     @Override
     public void call(long msgid, String method, int params, Envelope envelope) throws FormatException {
-        throw new FormatException("a server replies, and does not call");
+        throw new FormatException("unexpected call from a server");
     }
 
     @Override
     public void reply(long msgid) {
-        replying = calls.answered(msgid);
+        replyingCall = calls.complete(msgid);
         errorBytes = -1;
         tooLarge = false;
-        if (replying == null) {
-            CallTable.Stray stray = calls.stray(msgid);
-            all.counts.add(stray == CallTable.Stray.LATE ? Dropped.LATE_REPLY : Dropped.UNKNOWN_REPLY, heard,
+        if (replyingCall == null) {
+            CallTable.UnmatchedReply unmatched = calls.classifyUnmatched(msgid);
+            upstream.dropCounter.add(unmatched == CallTable.UnmatchedReply.LATE ? Dropped.LATE_REPLY : Dropped.UNKNOWN_REPLY, lastReadAt,
                 "msgid " + msgid + " of server " + peer.server);
         } else {
-            reply = new Body(all.budget.bytes(), -1, all.terms.payload());
+            replyBody = new Body(upstream.budget.bytes(), -1, upstream.options.maxPayload());
         }
     }
 
     @Override
     public void payload(ByteBuf bytes) {
-        if (reply != null && !reply.add(bytes)) {
+        if (replyBody != null && !replyBody.add(bytes)) {
             tooLarge = true;
-            reply.release();
-            reply = null;
+            replyBody.release();
+            replyBody = null;
         }
     }
 
     @Override
     public void errorEnded() {
-        errorBytes = reply == null ? 0 : (int) reply.size();
+        errorBytes = replyBody == null ? 0 : (int) replyBody.size();
     }
 
     @Override
     public boolean end() {
-        Call call = replying;
-        Body body = reply;
-        replying = null;
-        reply = null;
+        Call call = replyingCall;
+        Body body = replyBody;
+        replyingCall = null;
+        replyBody = null;
         if (call != null) {
-            peer.choice.answered(heard - call.sentAt);
+            peer.selector.recordResponseTime(lastReadAt - call.sentAt);
             if (tooLarge || !call.attempt.written()) {
-                // Not an answer that can be passed on; what it stands for may have run.
+                // The reply cannot be passed on. If the call was fully written, it may have run.
                 release(body);
-                all.dispatcher.ended(call.attempt, call.attempt.written() ? Outcome.ERROR : Outcome.CONNECT_FAILED, null);
+                upstream.dispatcher.ended(call.attempt, call.attempt.written() ? Outcome.ERROR : Outcome.CONNECT_FAILED, null);
             } else {
-                judge(call.attempt, body);
+                complete(call.attempt, body);
             }
-            endIfDone();
+            closeIfDone();
         }
-        return !over;
+        return !closed;
     }
 
-    private void judge(Attempt attempt, Body body) {
+    private void complete(Attempt attempt, Body body) {
         ByteBuf error = body.whole().slice(0, errorBytes);
         boolean nil = errorBytes == 1 && error.getUnsignedByte(0) == MsgPackWriter.NIL;
-        NodeError own = nil ? null : NodeError.read(error);
+        NodeError nodeError = nil ? null : NodeError.read(error);
         Outcome outcome = Outcome.OK;
-        if (own != null) {
-            outcome = switch (own.code()) {
+        if (nodeError != null) {
+            outcome = switch (nodeError.code()) {
                 case REFUSED -> Outcome.FULL;
                 case FAILED, LATE -> Outcome.ERROR;
                 case NO_METHOD, REJECTED, TOO_LARGE -> Outcome.REJECTED;
@@ -314,17 +318,17 @@
         }
         if (outcome == Outcome.FULL) {
             body.release();
-            all.dispatcher.ended(attempt, outcome, null);
+            upstream.dispatcher.ended(attempt, outcome, null);
         } else {
-            Answer answer = all.bridge.answer(attempt.exchange, new Answer(new ReplyHead(errorBytes, !nil), body));
-            all.dispatcher.ended(attempt, answer == null ? Outcome.ERROR : outcome, answer);
+            Answer answer = upstream.bridge.answer(attempt.exchange, new Answer(new ReplyHead(errorBytes, !nil), body));
+            upstream.dispatcher.ended(attempt, answer == null ? Outcome.ERROR : outcome, answer);
         }
     }
 
-    private void dropReply() {
-        replying = null;
-        release(reply);
-        reply = null;
+    private void discardReply() {
+        replyingCall = null;
+        release(replyBody);
+        replyBody = null;
     }
 
     private static void release(Body body) {
@@ -333,26 +337,26 @@
         }
     }
 
-    private void endIfDone() {
+    private void closeIfDone() {
         if (retired && calls.waiting() == 0) {
             close();
         }
     }
 
-    // ---- ends ----
+    // ---- closing ----
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-        over = true;
-        all.closed(this);
-        Call broken = replying;
-        dropReply();
+        closed = true;
+        upstream.onClosed(this);
+        Call interrupted = replyingCall;
+        discardReply();
         queue.clear();
-        if (broken != null) {
-            all.dispatcher.ended(broken.attempt, Outcome.RESET, null);
+        if (interrupted != null) {
+            upstream.dispatcher.ended(interrupted.attempt, Outcome.RESET, null);
         }
-        for (Call call : calls.end()) {
-            all.dispatcher.ended(call.attempt, call.attempt.written() ? Outcome.RESET : Outcome.CONNECT_FAILED, null);
+        for (Call call : calls.removeAll()) {
+            upstream.dispatcher.ended(call.attempt, call.attempt.written() ? Outcome.RESET : Outcome.CONNECT_FAILED, null);
         }
     }
 
--- a/src/main/java/onyxpaddle/rpc/RpcDropCounter.java
+++ b/src/main/java/onyxpaddle/rpc/RpcDropCounter.java
@@ -2,44 +2,46 @@
 
 import onyxpaddle.node.Log;
 
-/** Counts what is dropped, and tells of it in a line at most every ten seconds each. Event loop only. */
+/**
+ * Counts dropped messages and connections, and logs each kind at most once every ten seconds. Used on the event loop
+ * only.
+ */
 public final class RpcDropCounter {
-    private static final long BETWEEN = 10_000_000_000L;
+    private static final long LOG_INTERVAL = 10_000_000_000L;
 
-    /** What is counted. */
     public enum Dropped {
-        NOTIFICATION("notifications dropped"), LATE_REPLY("replies came to calls already given up"),
-        UNKNOWN_REPLY("replies came to no call, or twice"), MALFORMED("connections ended for malformed frames"),
-        UNREAD("callers let go of that read no answers");
+        NOTIFICATION("notifications dropped"), LATE_REPLY("late replies to calls given up"),
+        UNKNOWN_REPLY("unsolicited or duplicate replies"), MALFORMED("connections closed because of malformed frames"),
+        SLOW_READER("callers disconnected because they did not read answers");
 
-        private final String text;
+        private final String description;
 
-        Dropped(String text) {
-            this.text = text;
+        Dropped(String description) {
+            this.description = description;
         }
     }
 
     private final long[] counts = new long[Dropped.values().length];
-    private final long[] told = new long[Dropped.values().length];
-    private final long[] toldAt = new long[Dropped.values().length];
-    private final String who;
+    private final long[] loggedCounts = new long[Dropped.values().length];
+    private final long[] loggedAt = new long[Dropped.values().length];
+    private final String owner;
 
-    public RpcDropCounter(String who) {
-        this.who = who;
+    public RpcDropCounter(String owner) {
+        this.owner = owner;
     }
 
-    void add(Dropped what, long now, String example) {
-        int i = what.ordinal();
-        counts[i]++;
-        if (toldAt[i] == 0 || now - toldAt[i] > BETWEEN) {
-            Log.line(who + ": " + what.text + ": " + (counts[i] - told[i]) + " since the last line, " + counts[i]
-                + " in all; the last: " + example);
-            toldAt[i] = now;
-            told[i] = counts[i];
+    void add(Dropped kind, long now, String example) {
+        int index = kind.ordinal();
+        counts[index]++;
+        if (loggedAt[index] == 0 || now - loggedAt[index] > LOG_INTERVAL) {
+            Log.line(owner + ": " + kind.description + ": " + (counts[index] - loggedCounts[index]) + " since the last report, "
+                + counts[index] + " in total; latest: " + example);
+            loggedAt[index] = now;
+            loggedCounts[index] = counts[index];
         }
     }
 
-    public long of(Dropped what) {
-        return counts[what.ordinal()];
+    public long of(Dropped kind) {
+        return counts[kind.ordinal()];
     }
 }
--- a/src/main/java/onyxpaddle/rpc/RpcFront.java
+++ b/src/main/java/onyxpaddle/rpc/RpcFront.java
@@ -6,35 +6,35 @@
 import onyxpaddle.socket.PollableChannel;
 
 /**
- * The front for callers by MessagePack-RPC. The protocol has no word by which a callee says that it goes, so calls are
- * refused, as never run, before their connection closes.
+ * The front for callers that use MessagePack-RPC. The protocol has no message that announces the end of a connection,
+ * so before connections are closed, calls are refused with an error that says they never ran.
  */
 public final class RpcFront extends ListeningFront<CallerConnection> {
-    private static final long SWEEP_MS = 100;
-    private static final long MILLI = 1_000_000L;
-    /** How long a front that a reload took away goes on before it refuses what comes. */
-    private static final long RETIRED_FOR = 5_000 * MILLI;
-    /** How long calls are refused rather than cut off: those that were on their way. */
-    private static final long REFUSES_FOR = 300 * MILLI;
-    private static final long HIGHEST_UNREAD = 4L << 20;
+    private static final long SWEEP_INTERVAL_MS = 100;
+    private static final long NANOS_PER_MILLI = 1_000_000L;
+    /** How long a front that a reload removed still accepts calls. */
+    private static final long RETIREMENT_GRACE = 5_000 * NANOS_PER_MILLI;
+    /** How long calls are refused before connections are closed, for calls that were already on their way. */
+    private static final long REFUSAL_PERIOD = 300 * NANOS_PER_MILLI;
+    private static final long MIN_UNSENT_LIMIT = 4L << 20;
 
-    final RpcDropCounter counts;
-    RpcCallRouter calls;
+    final RpcDropCounter dropCounter;
+    RpcCallRouter router;
     private long retiredAt;
 
-    public RpcFront(SharedResources around, RpcDropCounter counts) {
-        super(around, SWEEP_MS, new WriteBufferWaterMark(32 * 1024, 64 * 1024));
-        this.counts = counts;
+    public RpcFront(SharedResources around, RpcDropCounter dropCounter) {
+        super(around, SWEEP_INTERVAL_MS, new WriteBufferWaterMark(32 * 1024, 64 * 1024));
+        this.dropCounter = dropCounter;
     }
 
-    /** From now on calls are read by these procedures; those read before go on as they were. */
+    /** Sets the router for subsequent calls. Calls that are in progress are not affected. */
     public void use(RpcCallRouter next) {
-        calls = next;
+        router = next;
     }
 
     @Override
     public long maxCallerTimeout() {
-        return calls.maxCallerTimeout();
+        return router.maxCallerTimeout();
     }
 
     @Override
@@ -44,7 +44,7 @@
 
     @Override
     protected CallerConnection evictionCandidate(CallerConnection newest) {
-        // One without calls goes; what is taken is never given up for it.
+        // Only a connection without calls: calls in progress are never sacrificed for a new connection.
         return connections().stream().filter(o -> o != newest && o.idle() && o.safeToClose()).findFirst().orElse(null);
     }
 
@@ -54,31 +54,31 @@
         super.retire();
     }
 
-    /** A caller hears by its refused calls that this process goes; one that comes later should not come here. */
+    /** Present callers learn from refused calls that this process is ending; new callers should not connect at all. */
     @Override
     protected boolean closesListener(long now) {
         return state.ending();
     }
 
-    // ---- what its connections ask ----
+    // ---- for connections ----
 
     Clock clock() {
         return clock;
     }
 
-    /** Whether calls that come are turned away, as the front ends or the node is being emptied. */
-    boolean refuses() {
+    /** Whether new calls are refused because the front is retired or the node is draining or ending. */
+    boolean refusesNewCalls() {
         long now = clock.now();
-        return retired() && now - retiredAt > RETIRED_FOR || state.refusesCalls(now);
+        return retired() && now - retiredAt > RETIREMENT_GRACE || state.refusesCalls(now);
     }
 
-    /** Whether a connection that has been without calls since then closes now. */
-    boolean ends(long idleSince, long now) {
-        return retired() && now - retiredAt > RETIRED_FOR + REFUSES_FOR || state.closesBetweenCalls(idleSince, now);
+    /** Whether a connection that has had no calls since {@code idleSince} is to be closed now. */
+    boolean closesIdle(long idleSince, long now) {
+        return retired() && now - retiredAt > RETIREMENT_GRACE + REFUSAL_PERIOD || state.closesBetweenCalls(idleSince, now);
     }
 
-    /** The most bytes of answers that a caller may leave unread. */
-    long mostUnread() {
-        return Math.max(HIGHEST_UNREAD, calls.largest());
+    /** The most bytes of answers that may wait for a slow caller. */
+    long maxUnsentBytes() {
+        return Math.max(MIN_UNSENT_LIMIT, router.maxPayload());
     }
 }
--- a/src/main/java/onyxpaddle/rpc/RpcUpstream.java
+++ b/src/main/java/onyxpaddle/rpc/RpcUpstream.java
@@ -21,102 +21,102 @@
 import onyxpaddle.BalancerApi.Outcome;
 import onyxpaddle.BalancerApi.ServerState;
 import onyxpaddle.node.Attempt;
-import onyxpaddle.node.ResourceBudget.PoolShare;
 import onyxpaddle.node.Clock;
 import onyxpaddle.node.Dispatcher;
+import onyxpaddle.node.ResourceBudget.PoolShare;
 import onyxpaddle.node.ServerList;
 import onyxpaddle.node.SocketBuffers;
 import onyxpaddle.node.Upstream;
 import onyxpaddle.socket.PollableChannel;
 
-/** A pool's connections to its servers by MessagePack-RPC: a few to each, with many calls at once. */
+/** The connections of a pool to its servers by MessagePack-RPC: a few to each server, each carrying many calls at once. */
 public final class RpcUpstream implements Upstream {
-    /** By which a list of servers tells the address that speaks it. */
+    /** The protocol name under which a server list gives the address for MessagePack-RPC. */
     public static final String PROTOCOL = "rpc";
-    private static final long SWEEP_MS = 100;
-    private static final long LAST_ID = 0xffffffffL;
+    private static final long SWEEP_INTERVAL_MS = 100;
+    private static final long LAST_MSGID = 0xffffffffL;
 
     /**
-     * What a pool allows.
+     * Settings of a pool.
      *
-     * @param connections to one server
-     * @param calls at once on a connection
-     * @param envelope servers are told of key, tenant and time left in an envelope
-     * @param payload the most bytes of a call's parameters, and of a reply
-     * @param idle how long a connection without calls is kept, in nanoseconds
+     * @param maxConnections to one server
+     * @param maxCalls in flight on a connection
+     * @param sendEnvelope whether servers receive key, tenant and remaining time in an envelope
+     * @param maxPayload the most bytes of the parameters of a call, and of a reply
+     * @param idleTimeout how long a connection without calls is kept, in nanoseconds
      * @param dialTimeout in nanoseconds
      */
-    public record Options(int connections, int calls, boolean envelope, long payload, long idle, long dialTimeout) {
+    public record Options(int maxConnections, int maxCalls, boolean sendEnvelope, long maxPayload, long idleTimeout, long dialTimeout) {
     }
 
     final Clock clock;
     final PoolShare budget;
     final Dispatcher dispatcher;
-    final Options terms;
+    final Options options;
     final RpcBridge bridge;
-    final RpcDropCounter counts;
+    final RpcDropCounter dropCounter;
     private final Bootstrap bootstrap;
-    private final Future<?> sweeping;
+    private final Future<?> sweepTask;
     private final Map<String, Peer> peers = new HashMap<>();
-    /** Those of servers that are gone or drain, too, until they have closed. */
-    private final Set<RpcConnection> open = new HashSet<>();
+    /** Includes those to servers that are draining or gone, until they are closed. */
+    private final Set<RpcConnection> openConnections = new HashSet<>();
 
-    /** A server as this node reaches it. */
+    /** A server as this node sees it. */
     static final class Peer {
         final String server;
-        final ConnectionSelector choice;
+        final ConnectionSelector selector;
         final List<RpcConnection> connections = new ArrayList<>();
         private InetSocketAddress address;
         private long startedAt;
 
-        private Peer(String server, int mostConnections) {
+        private Peer(String server, int maxConnections) {
             this.server = server;
-            choice = new ConnectionSelector(mostConnections);
+            selector = new ConnectionSelector(maxConnections);
         }
     }
 
     public RpcUpstream(EventLoop loop, ByteBufAllocator allocator, Clock clock, PoolShare budget, Dispatcher dispatcher,
-            Options terms, RpcBridge bridge, RpcDropCounter counts) {
+            Options options, RpcBridge bridge, RpcDropCounter dropCounter) {
         this.clock = clock;
         this.budget = budget;
         this.dispatcher = dispatcher;
-        this.terms = terms;
+        this.options = options;
         this.bridge = bridge;
-        this.counts = counts;
+        this.dropCounter = dropCounter;
         bootstrap = new Bootstrap().group(loop).channel(PollableChannel.class)
             .option(ChannelOption.ALLOCATOR, allocator)
             .option(ChannelOption.TCP_NODELAY, true)
-            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, terms.dialTimeout() / 1_000_000))
+            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, options.dialTimeout() / 1_000_000))
             .option(ChannelOption.RECVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(SocketBuffers.READ_SIZE))
-            // What is handed over can't be taken back, so little is handed over ahead.
+            // Calls passed to the channel cannot be taken back, so little is buffered there.
             .option(ChannelOption.WRITE_BUFFER_WATER_MARK, new WriteBufferWaterMark(8 * 1024, 16 * 1024))
             .handler(new ChannelInitializer<Channel>() {
                 @Override
                 protected void initChannel(Channel channel) {
-                    // Its handler comes with the RpcConnection.
+                    // The RpcConnection adds its handler once it is connected.
                 }
             });
-        sweeping = loop.scheduleWithFixedDelay(this::sweep, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
+        sweepTask = loop.scheduleWithFixedDelay(this::sweep, SWEEP_INTERVAL_MS, SWEEP_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
     // ---- servers ----
 
-    public void apply(ServerList roster) {
-        if (roster.whole()) {
-            Set<String> left = new HashSet<>(peers.keySet());
-            roster.hosts().forEach(host -> left.remove(host.entry().server()));
-            left.forEach(this::remove);
+    public void apply(ServerList servers) {
+        if (servers.whole()) {
+            Set<String> unlisted = new HashSet<>(peers.keySet());
+            servers.hosts().forEach(host -> unlisted.remove(host.entry().server()));
+            unlisted.forEach(this::remove);
         }
-        for (ServerList.Host host : roster.hosts()) {
+        for (ServerList.Host host : servers.hosts()) {
             String server = host.entry().server();
             InetSocketAddress address = host.address(PROTOCOL);
             if (host.entry().state() == ServerState.GONE || address == null) {
                 remove(server);
                 continue;
             }
-            Peer peer = peers.computeIfAbsent(server, s -> new Peer(s, terms.connections()));
-            boolean other = !address.equals(peer.address) || peer.startedAt != host.entry().startedAt();
-            if (other || host.entry().state() == ServerState.DRAINING) {
+            Peer peer = peers.computeIfAbsent(server, s -> new Peer(s, options.maxConnections()));
+            boolean replaced = !address.equals(peer.address) || peer.startedAt != host.entry().startedAt();
+            if (replaced || host.entry().state() == ServerState.DRAINING) {
                 retire(peer);
             }
             peer.address = address;
@@ -135,16 +135,16 @@
         List.copyOf(peer.connections).forEach(RpcConnection::retire);
     }
 
-    /** Whether the server can be called by this protocol. */
+    /** Whether the server can be called by MessagePack-RPC. */
     public boolean reaches(String server) {
         return peers.containsKey(server);
     }
 
-    /** Ends it for good: no attempt is out, and none comes after. */
+    /** Closes all connections. No attempt may be in flight, and none may follow. */
     public void close() {
-        sweeping.cancel(false);
+        sweepTask.cancel(false);
         peers.clear();
-        Set.copyOf(open).forEach(RpcConnection::close);
+        Set.copyOf(openConnections).forEach(RpcConnection::close);
     }
 
     // ---- attempts ----
@@ -157,20 +157,20 @@
             return;
         }
         long now = clock.now();
-        List<ConnectionSelector.Seen> seen = peer.connections.stream().map(c -> c.seen(now)).toList();
-        int index = peer.choice.choose(seen);
-        if (index == ConnectionSelector.NONE && List.copyOf(peer.connections).stream().filter(c -> c.closeIfSpent(now)).count() > 0) {
-            index = peer.choice.choose(peer.connections.stream().map(c -> c.seen(now)).toList());
+        List<ConnectionSelector.ConnectionState> states = peer.connections.stream().map(c -> c.state(now)).toList();
+        int index = peer.selector.select(states);
+        if (index == ConnectionSelector.NONE && List.copyOf(peer.connections).stream().filter(c -> c.closeIfExhausted(now)).count() > 0) {
+            index = peer.selector.select(peer.connections.stream().map(c -> c.state(now)).toList());
         }
         if (index == ConnectionSelector.NONE) {
-            // All its connections are full or stall: it has no room for this call, which never ran.
+            // All connections to the server are full or stalled, so the call never ran.
             dispatcher.ended(attempt, Outcome.FULL, null);
         } else if (index >= 0) {
             peer.connections.get(index).send(attempt);
         } else if (budget.servers().take(1)) {
             dial(peer).send(attempt);
         } else {
-            // The node's own want of descriptors: nothing was sent, and the server has no part in it.
+            // The node itself has run out of descriptors: nothing was sent, and the server must not be blamed.
             dispatcher.ended(attempt, Outcome.NOT_SENT, null);
         }
     }
@@ -178,18 +178,18 @@
     private RpcConnection dial(Peer peer) {
         ChannelFuture dial = bootstrap.connect(peer.address);
         dial.channel().closeFuture().addListener(f -> budget.servers().giveBack(1));
-        RpcConnection c = new RpcConnection(this, peer, dial.channel(), new CallTable<>(terms.calls(), LAST_ID));
-        peer.connections.add(c);
-        open.add(c);
+        RpcConnection connection = new RpcConnection(this, peer, dial.channel(), new CallTable<>(options.maxCalls(), LAST_MSGID));
+        peer.connections.add(connection);
+        openConnections.add(connection);
         dial.addListener(f -> {
             if (f.isSuccess()) {
-                c.connected();
+                connection.onConnected();
             } else {
-                c.close();
-                c.failed();
+                connection.close();
+                connection.onConnectFailed();
             }
         });
-        return c;
+        return connection;
     }
 
     @Override
@@ -199,15 +199,15 @@
         }
     }
 
-    void closed(RpcConnection c) {
-        open.remove(c);
-        c.peer.connections.remove(c);
+    void onClosed(RpcConnection connection) {
+        openConnections.remove(connection);
+        connection.peer.connections.remove(connection);
     }
 
     private void sweep() {
         long now = clock.now();
-        for (RpcConnection c : open.toArray(new RpcConnection[0])) {
-            c.sweep(now);
+        for (RpcConnection connection : openConnections.toArray(new RpcConnection[0])) {
+            connection.sweep(now);
         }
     }
 }
--- a/src/test/java/onyxpaddle/rpc/CallTableTest.java
+++ b/src/test/java/onyxpaddle/rpc/CallTableTest.java
@@ -15,73 +15,76 @@
 import java.util.Set;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
-import onyxpaddle.rpc.CallTable.Stray;
+import onyxpaddle.rpc.CallTable.UnmatchedReply;
 import org.junit.jupiter.api.Test;
 
-/** No reply is ever taken for another call's, whatever comes in whatever order. */
+/** A reply must never be matched to another call, whatever the order of replies, timeouts and discards. */
 class CallTableTest {
     @Test
-    void aReplyAnswersItsCallOnce() {
+    void replyCompletesItsCallOnce() {
         CallTable<String> table = new CallTable<>(4, 100);
         long a = table.open("a", 1);
         long b = table.open("b", 2);
-        assertEquals("b", table.answered(b));
-        assertNull(table.answered(b), "a duplicate answers nothing");
-        assertEquals(Stray.UNKNOWN, table.stray(b));
-        assertEquals("a", table.answered(a));
+        assertEquals("b", table.complete(b));
+        assertNull(table.complete(b), "a duplicate reply must not complete a call");
+        assertEquals(UnmatchedReply.UNKNOWN, table.classifyUnmatched(b));
+        assertEquals("a", table.complete(a));
         assertEquals(0, table.inFlight());
     }
 
     @Test
-    void aCallGivenUpHoldsItsPlaceUntilItsReplyComes() {
+    void givenUpCallKeepsItsSlotUntilItsReplyArrives() {
         CallTable<String> table = new CallTable<>(2, 100);
         long a = table.open("a", 1);
         table.open("b", 2);
         table.giveUp(a);
-        assertTrue(table.full());
+        assertTrue(table.isFull());
         assertEquals(1, table.waiting());
-        assertEquals(1, table.oldest(), "it still counts as the one without a reply for longest");
+        assertEquals(1, table.oldestOpenedAt(), "a given-up call still counts as the oldest without a reply");
         assertThrows(IllegalStateException.class, () -> table.open("c", 3));
-        assertNull(table.answered(a));
-        assertEquals(Stray.LATE, table.stray(a));
-        assertFalse(table.full());
-        assertEquals(2, table.oldest());
+        assertNull(table.complete(a));
+        assertEquals(UnmatchedReply.LATE, table.classifyUnmatched(a));
+        assertFalse(table.isFull());
+        assertEquals(2, table.oldestOpenedAt());
     }
 
     @Test
-    void aCallWithdrawnLeavesNothing() {
+    void discardedCallLeavesNoTrace() {
         CallTable<String> table = new CallTable<>(1, 100);
-        table.withdraw(table.open("a", 1));
+        table.discard(table.open("a", 1));
         assertEquals(0, table.inFlight());
-        assertEquals(Long.MAX_VALUE, table.oldest());
-        assertEquals(1, table.open("b", 2), "its id is not given again");
+        assertEquals(Long.MAX_VALUE, table.oldestOpenedAt());
+        assertEquals(1, table.open("b", 2), "msgids must not be reused");
     }
 
     @Test
-    void idsComeToAnEnd() {
+    void idsRunOut() {
         CallTable<String> table = new CallTable<>(10, 2);
         for (int i = 0; i < 3; i++) {
-            assertFalse(table.spent());
-            table.answered(table.open("x", i));
+            assertFalse(table.idsExhausted());
+            table.complete(table.open("x", i));
         }
-        assertTrue(table.spent() && table.full());
+        assertTrue(table.idsExhausted() && table.isFull());
     }
 
     @Test
-    void theEndGivesAllThatWaitInTheirOrder() {
+    void removeAllReturnsWaitingCallsInOrder() {
         CallTable<String> table = new CallTable<>(10, 100);
         table.open("a", 1);
         table.giveUp(table.open("b", 1));
         table.open("c", 1);
-        assertEquals(List.of("a", "c"), table.end());
+        assertEquals(List.of("a", "c"), table.removeAll());
         assertEquals(0, table.inFlight());
     }
 
-    /** Against a model that remembers everything: each call is answered by its own reply only, and ids never repeat. */
+    /**
+     * Compares the table with a model that never forgets a call: a reply completes only its own call, and ids never
+     * repeat.
+     */
     @Property(tries = 300, seed = "44")
-    void againstAModel(@ForAll Random random) {
-        int most = 1 + random.nextInt(8);
-        CallTable<Integer> table = new CallTable<>(most, 500);
+    void behavesLikeTheReferenceModel(@ForAll Random random) {
+        int maxInFlight = 1 + random.nextInt(8);
+        CallTable<Integer> table = new CallTable<>(maxInFlight, 500);
         Map<Long, Integer> waiting = new HashMap<>();
         Set<Long> givenUp = new HashSet<>();
         List<Long> all = new ArrayList<>();
@@ -89,8 +92,8 @@
             long id = all.isEmpty() || random.nextInt(10) == 0 ? random.nextInt(600) : all.get(random.nextInt(all.size()));
             switch (random.nextInt(4)) {
                 case 0 -> {
-                    assertEquals(waiting.size() + givenUp.size() >= most, table.full());
-                    if (!table.full()) {
+                    assertEquals(waiting.size() + givenUp.size() >= maxInFlight, table.isFull());
+                    if (!table.isFull()) {
                         long opened = table.open(step, step);
                         assertFalse(all.contains(opened));
                         all.add(opened);
@@ -99,9 +102,9 @@
                 }
                 case 1 -> {
                     Integer expected = waiting.remove(id);
-                    assertEquals(expected, table.answered(id));
+                    assertEquals(expected, table.complete(id));
                     if (expected == null) {
-                        assertEquals(givenUp.remove(id) ? Stray.LATE : Stray.UNKNOWN, table.stray(id));
+                        assertEquals(givenUp.remove(id) ? UnmatchedReply.LATE : UnmatchedReply.UNKNOWN, table.classifyUnmatched(id));
                     }
                 }
                 case 2 -> {
@@ -112,7 +115,7 @@
                 }
                 default -> {
                     waiting.remove(id);
-                    table.withdraw(id);
+                    table.discard(id);
                 }
             }
             assertEquals(waiting.size(), table.waiting());
--- a/src/test/java/onyxpaddle/rpc/ConnectionSelectorTest.java
+++ b/src/test/java/onyxpaddle/rpc/ConnectionSelectorTest.java
@@ -7,68 +7,68 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
-import onyxpaddle.rpc.ConnectionSelector.Seen;
+import onyxpaddle.rpc.ConnectionSelector.ConnectionState;
 import org.junit.jupiter.api.Test;
 
-/** Which connection carries the next call, and when one stalls. */
+/** Selection of the connection for the next call, and detection of stalled connections. */
 class ConnectionSelectorTest {
     private static final long MS = 1_000_000L;
-    private final ConnectionSelector choice = new ConnectionSelector(2);
+    private final ConnectionSelector selector = new ConnectionSelector(2);
 
-    private static Seen sound(int inFlight) {
-        return new Seen(inFlight, true, false);
+    private static ConnectionState healthy(int inFlight) {
+        return new ConnectionState(inFlight, true, false);
     }
 
-    private static Seen stalled(int inFlight) {
-        return new Seen(inFlight, true, true);
+    private static ConnectionState stalled(int inFlight) {
+        return new ConnectionState(inFlight, true, true);
     }
 
-    private static Seen full() {
-        return new Seen(64, false, false);
+    private static ConnectionState full() {
+        return new ConnectionState(64, false, false);
     }
 
     @Test
-    void theFirstCallDials() {
-        assertEquals(DIAL, choice.choose(List.of()));
+    void firstCallDials() {
+        assertEquals(DIAL, selector.select(List.of()));
     }
 
     @Test
-    void theOneWithTheFewestCalls() {
-        assertEquals(1, choice.choose(List.of(sound(3), sound(2))));
-        assertEquals(0, choice.choose(List.of(sound(2), sound(2))));
-        assertEquals(0, choice.choose(List.of(sound(15))));
+    void selectsTheConnectionWithFewestCalls() {
+        assertEquals(1, selector.select(List.of(healthy(3), healthy(2))));
+        assertEquals(0, selector.select(List.of(healthy(2), healthy(2))));
+        assertEquals(0, selector.select(List.of(healthy(15))));
     }
 
     @Test
-    void aCrowdedOneGetsCompanyUpToTheLimit() {
-        assertEquals(DIAL, choice.choose(List.of(sound(16))));
-        assertEquals(0, choice.choose(List.of(sound(16), sound(17))));
+    void dialsAnotherConnectionUpToTheLimitWhenBusy() {
+        assertEquals(DIAL, selector.select(List.of(healthy(16))));
+        assertEquals(0, selector.select(List.of(healthy(16), healthy(17))));
     }
 
     @Test
-    void oneThatStallsOrIsFullGetsNothing() {
-        assertEquals(DIAL, choice.choose(List.of(stalled(1))));
-        assertEquals(1, choice.choose(List.of(stalled(1), sound(40))));
-        assertEquals(DIAL, choice.choose(List.of(full())));
-        assertEquals(NONE, choice.choose(List.of(full(), stalled(0))));
+    void stalledAndFullConnectionsAreNotSelected() {
+        assertEquals(DIAL, selector.select(List.of(stalled(1))));
+        assertEquals(1, selector.select(List.of(stalled(1), healthy(40))));
+        assertEquals(DIAL, selector.select(List.of(full())));
+        assertEquals(NONE, selector.select(List.of(full(), stalled(0))));
     }
 
     @Test
-    void silenceIsMeasuredFromTheCallOrFromWhatCameSince() {
+    void stallIsMeasuredFromTheCallOrTheLastRead() {
         long second = 1000 * MS;
-        assertFalse(choice.stalls(Long.MAX_VALUE, 0, 100 * second), "nothing is awaited");
-        assertFalse(choice.stalls(10 * second, 0, 11 * second), "before any answer, a second is allowed");
-        assertTrue(choice.stalls(10 * second, 0, 11 * second + 1));
-        assertFalse(choice.stalls(10 * second, 19 * second, 20 * second), "something came meanwhile");
+        assertFalse(selector.isStalled(Long.MAX_VALUE, 0, 100 * second), "no call is waiting");
+        assertFalse(selector.isStalled(10 * second, 0, 11 * second), "the timeout is one second before the first reply");
+        assertTrue(selector.isStalled(10 * second, 0, 11 * second + 1));
+        assertFalse(selector.isStalled(10 * second, 19 * second, 20 * second), "bytes arrived meanwhile");
     }
 
     @Test
-    void theLongestSilenceFollowsWhatCallsTake() {
-        choice.answered(20 * MS);
-        assertEquals(250 * MS, choice.longestSilence());
+    void stallTimeoutFollowsResponseTimes() {
+        selector.recordResponseTime(20 * MS);
+        assertEquals(250 * MS, selector.stallTimeout());
         for (int i = 0; i < 100; i++) {
-            choice.answered(500 * MS);
+            selector.recordResponseTime(500 * MS);
         }
-        assertEquals(2000 * MS, choice.longestSilence(), MS);
+        assertEquals(2000 * MS, selector.stallTimeout(), MS);
     }
 }
--- a/src/test/java/onyxpaddle/rpc/EnvelopeAndErrorTest.java
+++ b/src/test/java/onyxpaddle/rpc/EnvelopeAndErrorTest.java
@@ -13,29 +13,29 @@
 import org.msgpack.core.MessagePack;
 import org.msgpack.core.MessageUnpacker;
 
-/** What a node adds to calls and answers, read by a library and read back. */
+/** Envelopes and node errors that this node writes can be read back, by its own reader and by msgpack-core. */
 class EnvelopeAndErrorTest {
     @Property(tries = 200, seed = "45")
-    void anEnvelopeIsReadAsItWasWritten(@ForAll @StringLength(max = 60) String key, @ForAll boolean retry,
-            @ForAll boolean some) throws Exception {
-        Envelope envelope = new Envelope(some ? 1234 : Double.NaN, key.isEmpty() ? null : key, some ? "clinic" : null, retry,
-            some ? 0.25 : Double.NaN);
+    void envelopeRoundTrip(@ForAll @StringLength(max = 60) String key, @ForAll boolean retry,
+            @ForAll boolean optionalFields) throws Exception {
+        Envelope envelope = new Envelope(optionalFields ? 1234 : Double.NaN, key.isEmpty() ? null : key,
+            optionalFields ? "clinic" : null, retry, optionalFields ? 0.25 : Double.NaN);
         ByteBuf out = Unpooled.buffer();
         envelope.write(out);
-        out.skipBytes(Envelope.MARK_LENGTH);
+        out.skipBytes(Envelope.PREFIX_LENGTH);
         assertEquals(envelope, Envelope.read(out));
         assertEquals(0, out.readableBytes());
     }
 
     @Test
-    void errorsAreReadBackAndByALibrary() throws Exception {
+    void errorsAreReadableByThisReaderAndByMsgpackCore() throws Exception {
         for (Code code : Code.values()) {
-            NodeError error = new NodeError(code, code.usual, code == Code.REFUSED ? 250 : 0);
+            NodeError error = new NodeError(code, code.defaultMessage, code == Code.REFUSED ? 250 : 0);
             ByteBuf out = Unpooled.buffer();
             error.write(out);
             try (MessageUnpacker unpacker = MessagePack.newDefaultUnpacker(out.array(), 0, out.readableBytes())) {
                 String json = unpacker.unpackValue().toJson();
-                assertEquals("{\"lupinmount\":{\"code\":\"" + code.word() + "\",\"message\":\"" + code.usual + "\""
+                assertEquals("{\"lupinmount\":{\"code\":\"" + code.wireName() + "\",\"message\":\"" + code.defaultMessage + "\""
                     + (code == Code.REFUSED ? ",\"retry_after\":250" : "") + "}}", json);
             }
             assertEquals(error, NodeError.read(out));
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void anApplicationsErrorIsNotTakenForOne() {
+    void applicationErrorsAreNotNodeErrors() {
         for (String hex : new String[] {"", "c0", "05", "a3626164", "80", "81a16105", "81aa6c7570696e6d6f756e74c0",
             "81aa6c7570696e6d6f756e7480", "81aa6c7570696e6d6f756e7481a4636f6465a3626164",
             "82aa6c7570696e6d6f756e7480c0c0", "81aa6c7570696e6d6f756e7481a4636f6465a7"}) {
--- a/src/test/java/onyxpaddle/rpc/FrameDecoderTest.java
+++ b/src/test/java/onyxpaddle/rpc/FrameDecoderTest.java
@@ -14,13 +14,13 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Frames in every format that the MessagePack specification has, in every split, and beyond every bound. */
+/** Decodes frames in every format of the MessagePack specification, split at every byte, and beyond every limit. */
 class FrameDecoderTest {
     private static final FrameLimits LIMITS = new FrameLimits(100_000, 64, 64, 256);
     private static final String ECHO = "a46563686f";
-    private static final String MARK = "81aa6c7570696e6d6f756e74";
+    private static final String ENVELOPE_PREFIX = "81aa6c7570696e6d6f756e74";
 
-    /** One or more values of each format family, with the least and the most that a family holds where that is small. */
+    /** Values of each format family, including the smallest and largest of a family where they are short. */
     static final List<String> VALUES = List.of(
         "c0", "c2", "c3",
         "00", "7f", "e0", "ff",
@@ -53,8 +53,8 @@
         return recorder;
     }
 
-    /** Reads it whole, split at every byte, and byte by byte: the same each time. */
-    private static void everySplit(String hex, String... frames) throws FormatException {
+    /** The result must be the same for the whole input, for a split at each byte, and byte by byte. */
+    private static void assertInEverySplit(String hex, String... frames) throws FormatException {
         assertEquals(List.of(frames), read(hex).frames);
         for (int at = 2; at < hex.length(); at += 2) {
             assertEquals(List.of(frames), read(hex.substring(0, at), hex.substring(at)).frames, "split at " + at / 2);
@@ -63,39 +63,39 @@
     }
 
     @Test
-    void everyFormatPassesThroughInEverySplit() throws FormatException {
+    void everyFormatIsForwardedInEverySplit() throws FormatException {
         for (String value : VALUES) {
-            everySplit("940007" + ECHO + "91" + value, "call 7 echo 1 " + value);
-            everySplit("9302" + ECHO + "92" + value + value, "notify echo 2 " + value + value);
-            everySplit("940107" + value + value, "reply 7 " + value + "|" + value);
+            assertInEverySplit("940007" + ECHO + "91" + value, "call 7 echo 1 " + value);
+            assertInEverySplit("9302" + ECHO + "92" + value + value, "notify echo 2 " + value + value);
+            assertInEverySplit("940107" + value + value, "reply 7 " + value + "|" + value);
         }
     }
 
     @ParameterizedTest
     @CsvSource({"00,0", "7f,127", "ccff,255", "cdffff,65535", "ceffffffff,4294967295", "cf00000000ffffffff,4294967295",
         "cf0000000000000005,5", "d005,5", "d10005,5", "d200000005,5", "d30000000000000005,5"})
-    void msgidsAreOfAnyWidth(String id, String value) throws FormatException {
-        everySplit("9400" + id + ECHO + "90", "call " + value + " echo 0");
-        everySplit("9401" + id + "c0c0", "reply " + value + " c0|c0");
+    void msgidsOfAnyWidthAreAccepted(String id, String value) throws FormatException {
+        assertInEverySplit("9400" + id + ECHO + "90", "call " + value + " echo 0");
+        assertInEverySplit("9401" + id + "c0c0", "reply " + value + " c0|c0");
     }
 
     @Test
-    void framesAndNamesAndParametersInLongerFormatsThanNeeded() throws FormatException {
-        everySplit("dc0004" + "cc00" + "07" + "d9046563686f" + "dc0001" + "05", "call 7 echo 1 05");
-        everySplit("dd00000004" + "cd0000" + "07" + "da00046563686f" + "dd00000001" + "05", "call 7 echo 1 05");
-        everySplit("940007" + "db000000046563686f" + "90", "call 7 echo 0");
+    void longerFormatsThanNecessaryAreAccepted() throws FormatException {
+        assertInEverySplit("dc0004" + "cc00" + "07" + "d9046563686f" + "dc0001" + "05", "call 7 echo 1 05");
+        assertInEverySplit("dd00000004" + "cd0000" + "07" + "da00046563686f" + "dd00000001" + "05", "call 7 echo 1 05");
+        assertInEverySplit("940007" + "db000000046563686f" + "90", "call 7 echo 0");
     }
 
     @Test
-    void framesOneBehindTheOther() throws FormatException {
-        everySplit("940007" + ECHO + "90" + "9302" + ECHO + "9105" + "940109c0a0", "call 7 echo 0", "notify echo 1 05",
+    void consecutiveFrames() throws FormatException {
+        assertInEverySplit("940007" + ECHO + "90" + "9302" + ECHO + "9105" + "940109c0a0", "call 7 echo 0", "notify echo 1 05",
             "reply 9 c0|a0");
     }
 
     @Test
-    void itWaitsAfterAFrameWhenAsked() throws FormatException {
+    void pausesAfterAFrameOnRequest() throws FormatException {
         Recorder recorder = new Recorder();
-        recorder.waits = true;
+        recorder.pauseAfterFrame = true;
         FrameDecoder decoder = new FrameDecoder(LIMITS, recorder);
         ByteBuf in = bytes("940007" + ECHO + "90" + "940008" + ECHO + "9105");
         decoder.feed(in);
@@ -109,28 +109,28 @@
     // ---- the envelope ----
 
     @Test
-    void anEnvelopeIsReadAndTakenOut() throws FormatException {
-        String said = "85" + "a7" + hex("expires") + "cd01f4" + "a3" + hex("key") + "a2" + hex("k1") + "a6" + hex("tenant")
+    void envelopeIsParsedAndRemoved() throws FormatException {
+        String envelope = "85" + "a7" + hex("expires") + "cd01f4" + "a3" + hex("key") + "a2" + hex("k1") + "a6" + hex("tenant")
             + "a1" + hex("t") + "a5" + hex("retry") + "c3" + "a5" + hex("worth") + "cb3fe0000000000000";
-        everySplit("940007" + ECHO + "92" + MARK + said + "05", "call 7 echo 1 " + new Envelope(500, "k1", "t", true, 0.5)
-            + " 05");
-        everySplit("940007" + ECHO + "91" + MARK + "80", "call 7 echo 0 " + Envelope.NONE);
-        everySplit("9302" + ECHO + "91" + MARK + "81a3" + hex("key") + "a16b", "notify echo 0 "
+        assertInEverySplit("940007" + ECHO + "92" + ENVELOPE_PREFIX + envelope + "05",
+            "call 7 echo 1 " + new Envelope(500, "k1", "t", true, 0.5) + " 05");
+        assertInEverySplit("940007" + ECHO + "91" + ENVELOPE_PREFIX + "80", "call 7 echo 0 " + Envelope.NONE);
+        assertInEverySplit("9302" + ECHO + "91" + ENVELOPE_PREFIX + "81a3" + hex("key") + "a16b", "notify echo 0 "
             + new Envelope(Double.NaN, "k", null, false, Double.NaN));
     }
 
     @Test
-    void keysOfAnEnvelopeThatAreNotKnownArePassedOver() throws FormatException {
-        everySplit("940007" + ECHO + "91" + MARK + "82" + "a1" + hex("x") + "9291c0c401ff" + "a3" + hex("key") + "a16b",
+    void unknownEnvelopeKeysAreIgnored() throws FormatException {
+        assertInEverySplit("940007" + ECHO + "91" + ENVELOPE_PREFIX + "82" + "a1" + hex("x") + "9291c0c401ff" + "a3" + hex("key") + "a16b",
             "call 7 echo 0 " + new Envelope(Double.NaN, "k", null, false, Double.NaN));
     }
 
     @Test
-    void whatOnlyBeginsLikeAnEnvelopeIsAParameter() throws FormatException {
-        everySplit("940007" + ECHO + "91" + "81aa" + hex("lupinmouns") + "05", "call 7 echo 1 81aa" + hex("lupinmouns") + "05");
-        everySplit("940007" + ECHO + "91" + "81a16105", "call 7 echo 1 81a16105");
-        everySplit("940007" + ECHO + "92" + "81c0c0" + MARK + "80", "call 7 echo 2 81c0c0" + MARK + "80");
-        everySplit("940007" + ECHO + "91" + "82aa" + hex("lupinmount") + "05a16105", "call 7 echo 1 82aa" + hex("lupinmount")
+    void partialEnvelopePrefixIsAParameter() throws FormatException {
+        assertInEverySplit("940007" + ECHO + "91" + "81aa" + hex("lupinmouns") + "05", "call 7 echo 1 81aa" + hex("lupinmouns") + "05");
+        assertInEverySplit("940007" + ECHO + "91" + "81a16105", "call 7 echo 1 81a16105");
+        assertInEverySplit("940007" + ECHO + "92" + "81c0c0" + ENVELOPE_PREFIX + "80", "call 7 echo 2 81c0c0" + ENVELOPE_PREFIX + "80");
+        assertInEverySplit("940007" + ECHO + "91" + "82aa" + hex("lupinmount") + "05a16105", "call 7 echo 1 82aa" + hex("lupinmount")
             + "05a16105");
     }
 
@@ -138,15 +138,15 @@
     @ValueSource(strings = {"c0", "05", "81a3 6b6579 05", "81a7 65787069726573 a131", "81a7 65787069726573 ff",
         "81a7 65787069726573 cb7ff8000000000000", "81a5 7265747279 05", "81a5 776f727468 02", "81a6 74656e616e74 c0", "8105c0",
         "81a3 6b6579 a2c328"})
-    void anEnvelopeOfAnotherKindIsAFault(String said) {
-        assertThrows(FormatException.class, () -> read("940007" + ECHO + "91" + MARK + said.replace(" ", "")));
+    void invalidEnvelopeIsRejected(String envelope) {
+        assertThrows(FormatException.class, () -> read("940007" + ECHO + "91" + ENVELOPE_PREFIX + envelope.replace(" ", "")));
     }
 
     private static String hex(String text) {
         return ByteBufUtil.hexDump(text.getBytes(java.nio.charset.StandardCharsets.US_ASCII));
     }
 
-    // ---- bounds ----
+    // ---- limits ----
 
     @ParameterizedTest
     @ValueSource(strings = {
@@ -160,35 +160,35 @@
         "940007a16191c1", "940007a16191dbffffffff", "940007a16191c6ffffffff", "940007a16191c9ffffffff",
         "940007a16191ddffffffff", "940007a16191dfffffffff", "940007a16191db000186a0", "940007a16191df0000c351",
         "940107c1", "940107c0c1", "940107dbffffffff", "940107c0c6ffffffff"})
-    void whatIsNoFrameOrClaimsTooMuchIsAFaultAtOnce(String hex) {
+    void malformedAndOversizedInputIsRejectedAtOnce(String hex) {
         assertThrows(FormatException.class, () -> read(hex));
         assertThrows(FormatException.class, () -> read(hex.split("(?<=\\G..)")));
     }
 
     @Test
-    void arraysWithinEachOtherAreAFaultBeyondTheBound() throws FormatException {
-        everySplit("940007" + ECHO + "91" + "91".repeat(64) + "c0", "call 7 echo 1 " + "91".repeat(64) + "c0");
+    void nestingBeyondTheLimitIsRejected() throws FormatException {
+        assertInEverySplit("940007" + ECHO + "91" + "91".repeat(64) + "c0", "call 7 echo 1 " + "91".repeat(64) + "c0");
         assertThrows(FormatException.class, () -> read("940007" + ECHO + "91" + "91".repeat(65)));
         assertThrows(FormatException.class, () -> read("940007" + ECHO + "91" + "91".repeat(10_000) + "c0"));
         assertThrows(FormatException.class, () -> read("940107" + "81c0".repeat(10_000)));
     }
 
     @Test
-    void aFrameAsLongAsAllowedAndOneByteLonger() throws FormatException {
+    void frameSizeLimitIsExact() throws FormatException {
         int head = 3 + 5 + 1;
-        int most = (int) LIMITS.frame() - head - 5;
-        String size = String.format("%08x", most);
-        Recorder recorder = read("940007" + ECHO + "91" + "c6" + size + "00".repeat(most));
+        int maxData = (int) LIMITS.maxFrameBytes() - head - 5;
+        String size = String.format("%08x", maxData);
+        Recorder recorder = read("940007" + ECHO + "91" + "c6" + size + "00".repeat(maxData));
         assertEquals(1, recorder.frames.size());
-        assertThrows(FormatException.class, () -> read("940007" + ECHO + "91" + "c6" + String.format("%08x", most + 1)));
-        // No single claim is too large, and all together are.
+        assertThrows(FormatException.class, () -> read("940007" + ECHO + "91" + "c6" + String.format("%08x", maxData + 1)));
+        // Each value is within the limit, but their sum is not.
         String small = "c5ffff" + "00".repeat(65535);
         assertThrows(FormatException.class, () -> read("940007" + ECHO + "92" + small + small));
         assertThrows(FormatException.class, () -> read("940107" + small + small));
     }
 
     @Test
-    void midFrameFromTheFirstByteToTheLast() throws FormatException {
+    void midFrameBetweenFirstAndLastByte() throws FormatException {
         FrameDecoder decoder = new FrameDecoder(LIMITS, new Recorder());
         assertFalse(decoder.midFrame());
         String[] parts = ("940007" + ECHO + "9105").split("(?<=\\G..)");
--- a/src/test/java/onyxpaddle/rpc/FrameFuzzTest.java
+++ b/src/test/java/onyxpaddle/rpc/FrameFuzzTest.java
@@ -17,46 +17,46 @@
 import org.msgpack.value.Value;
 import org.msgpack.value.ValueFactory;
 
-/** Frames that were mutated, in random pieces: every one is read or a fault, and nothing is left behind. */
+/** Mutated frames in random pieces: each must be either read or rejected, with bounded memory and without buffer leaks. */
 class FrameFuzzTest {
     private static final long SEED = 20261201;
     private static final int FRAMES = 60_000;
-    private static final int LARGEST = 4096;
+    private static final int MAX_PAYLOAD = 4096;
 
-    /** Takes payloads in as the connections do: calls of one kind, replies of the other. */
-    private static final class Taking implements FrameSink {
+    /** Collects payloads in bodies as the connections do. Accepts only calls or only replies. */
+    private static final class BodySink implements FrameSink {
         final SharedLimit.Share share = new SharedLimit(1 << 20).join();
         final boolean calls;
         Body body;
         int ended;
 
-        Taking(boolean calls) {
+        BodySink(boolean calls) {
             this.calls = calls;
         }
 
         @Override
         public void call(long msgid, String method, int params, Envelope envelope) throws FormatException {
-            begin(calls);
+            beginBody(calls);
             assertTrue(method.length() <= 256 && params >= 0 && msgid <= 0xffffffffL);
         }
 
         @Override
         public void reply(long msgid) throws FormatException {
-            begin(!calls);
+            beginBody(!calls);
         }
 
-        private void begin(boolean expected) throws FormatException {
+        private void beginBody(boolean expected) throws FormatException {
             if (!expected) {
-                throw new FormatException("of the other kind");
+                throw new FormatException("unexpected frame type");
             }
-            assertEquals(null, body, "a frame begins within another");
-            body = new Body(share, -1, LARGEST);
+            assertEquals(null, body, "a frame began before the previous one ended");
+            body = new Body(share, -1, MAX_PAYLOAD);
         }
 
         @Override
         public void payload(ByteBuf bytes) {
             if (body != null && !body.add(bytes)) {
-                drop();
+                releaseBody();
             }
         }
 
@@ -68,11 +68,11 @@
         @Override
         public boolean end() {
             ended++;
-            drop();
+            releaseBody();
             return true;
         }
 
-        void drop() {
+        void releaseBody() {
             if (body != null) {
                 NodeError.read(body.whole());
                 MsgPackValues.arrayLength(body.whole());
@@ -85,16 +85,16 @@
     private final Random random = new Random(SEED);
 
     @Test
-    void mutatedCallsAndReplies() throws Exception {
+    void mutatedFramesAreReadOrRejectedWithoutLeaks() throws Exception {
         Level before = ResourceLeakDetector.getLevel();
         ResourceLeakDetector.setLevel(Level.PARANOID);
         PooledByteBufAllocator allocator = new PooledByteBufAllocator(true, 1, 1, 8192, 6, 0, 0, false);
         try {
             int calls = fuzz(true, allocator);
             int replies = fuzz(false, allocator);
-            // Most are broken early; that many still come through shows that mutants reach every state.
+            // Most mutations break a frame early; a minimum of complete frames shows that all decoder states are reached.
             assertTrue(calls > FRAMES / 20 && replies > FRAMES / 20, "seed " + SEED + ": " + calls + ", " + replies);
-            assertEquals(0, allocator.pinnedDirectMemory() + allocator.pinnedHeapMemory(), "buffers were left behind");
+            assertEquals(0, allocator.pinnedDirectMemory() + allocator.pinnedHeapMemory(), "leaked buffers");
         } finally {
             ResourceLeakDetector.setLevel(before);
         }
@@ -104,8 +104,8 @@
         int ended = 0;
         for (int i = 0; i < FRAMES; i++) {
             byte[] frame = mutated(frame(calls));
-            Taking sink = new Taking(calls);
-            FrameDecoder decoder = new FrameDecoder(FrameLimits.forPayload(LARGEST), sink);
+            BodySink sink = new BodySink(calls);
+            FrameDecoder decoder = new FrameDecoder(FrameLimits.forPayload(MAX_PAYLOAD), sink);
             try {
                 for (int at = 0; at < frame.length;) {
                     int count = Math.min(frame.length - at, 1 + random.nextInt(random.nextBoolean() ? 3 : 200));
@@ -116,7 +116,7 @@
                     } finally {
                         in.release();
                     }
-                    assertTrue(sink.share.held() <= 2 * LARGEST + 8192, "memory is not bounded");
+                    assertTrue(sink.share.held() <= 2 * MAX_PAYLOAD + 8192, "memory limit exceeded");
                     at += count;
                 }
             } catch (FormatException e) {
@@ -124,7 +124,7 @@
             } catch (RuntimeException | AssertionError e) {
                 throw new AssertionError("seed " + SEED + ", frame " + i + ": " + ByteBufUtil.hexDump(frame), e);
             }
-            sink.drop();
+            sink.releaseBody();
             assertEquals(0, sink.share.held());
             ended += sink.ended > 0 ? 1 : 0;
         }
@@ -157,8 +157,8 @@
         }
     }
 
-    private Value value(int deep) {
-        return switch (random.nextInt(deep > 0 ? 9 : 7)) {
+    private Value value(int depth) {
+        return switch (random.nextInt(depth > 0 ? 9 : 7)) {
             case 0 -> ValueFactory.newNil();
             case 1 -> ValueFactory.newBoolean(random.nextBoolean());
             case 2 -> ValueFactory.newInteger(random.nextLong() >> random.nextInt(64));
@@ -166,8 +166,8 @@
             case 4 -> ValueFactory.newString("x".repeat(random.nextInt(300)));
             case 5 -> ValueFactory.newBinary(new byte[random.nextInt(300)]);
             case 6 -> ValueFactory.newExtension((byte) random.nextInt(128), new byte[random.nextInt(40)]);
-            case 7 -> ValueFactory.newArray(value(deep - 1), value(deep - 1));
-            default -> ValueFactory.newMap(value(0), value(deep - 1), value(0), value(deep - 1));
+            case 7 -> ValueFactory.newArray(value(depth - 1), value(depth - 1));
+            default -> ValueFactory.newMap(value(0), value(depth - 1), value(0), value(depth - 1));
         };
     }
 
--- a/src/test/java/onyxpaddle/rpc/MsgPackScannerTest.java
+++ b/src/test/java/onyxpaddle/rpc/MsgPackScannerTest.java
@@ -17,11 +17,11 @@
 import org.msgpack.value.Value;
 import org.msgpack.value.ValueFactory;
 
-/** Held against msgpack-core, which writes the values: the scanner ends where they end, and nowhere before. */
+/** Compares scanner and writer with msgpack-core: the scanner must end exactly where a value written by the library ends. */
 class MsgPackScannerTest {
     @Provide
     Arbitrary<Value> values() {
-        Arbitrary<Value> plain = Arbitraries.oneOf(
+        Arbitrary<Value> scalars = Arbitraries.oneOf(
             Arbitraries.longs().map(ValueFactory::newInteger),
             Arbitraries.doubles().map(ValueFactory::newFloat),
             Arbitraries.of(true, false).map(ValueFactory::newBoolean),
@@ -29,13 +29,13 @@
             Arbitraries.bytes().array(byte[].class).ofMaxSize(400).map(ValueFactory::newBinary),
             Arbitraries.bytes().array(byte[].class).ofMaxSize(40).map(b -> ValueFactory.newExtension((byte) 5, b)),
             Arbitraries.just(ValueFactory.newNil()));
-        return Arbitraries.recursive(() -> plain, inner -> Arbitraries.oneOf(
+        return Arbitraries.recursive(() -> scalars, inner -> Arbitraries.oneOf(
             inner.list().ofMaxSize(20).map(ValueFactory::newArray),
-            Arbitraries.maps(plain, inner).ofMaxSize(20).map(ValueFactory::newMap)), 0, 3);
+            Arbitraries.maps(scalars, inner).ofMaxSize(20).map(ValueFactory::newMap)), 0, 3);
     }
 
     @Property(tries = 500, seed = "42")
-    void endsWhereTheValueEnds(@ForAll("values") Value value, @ForAll("splits") int split) throws Exception {
+    void scanEndsExactlyWhereTheValueEnds(@ForAll("values") Value value, @ForAll("splits") int split) throws Exception {
         try (MessageBufferPacker packer = MessagePack.newDefaultBufferPacker()) {
             packer.packValue(value);
             byte[] bytes = packer.toByteArray();
@@ -52,7 +52,7 @@
             }
             assertTrue(scanner.ended());
             assertEquals(bytes.length, at);
-            assertEquals(0, scanner.room());
+            assertEquals(0, scanner.bytesLeft());
         }
     }
 
@@ -62,23 +62,23 @@
     }
 
     @Property(tries = 300, seed = "43")
-    void writesTheShortestFormats(@ForAll("wholes") Tuple.Tuple2<Long, String> of) throws Exception {
+    void writerUsesTheShortestFormats(@ForAll("numbersAndStrings") Tuple.Tuple2<Long, String> sample) throws Exception {
         try (MessageBufferPacker packer = MessagePack.newDefaultBufferPacker()) {
-            packer.packLong(of.get1()).packString(of.get2()).packArrayHeader((int) (of.get1() & 0xfffff))
-                .packBinaryHeader((int) (of.get1() & 0xfffff)).packNil().packBoolean(true);
+            packer.packLong(sample.get1()).packString(sample.get2()).packArrayHeader((int) (sample.get1() & 0xfffff))
+                .packBinaryHeader((int) (sample.get1() & 0xfffff)).packNil().packBoolean(true);
             ByteBuf out = Unpooled.buffer();
-            MsgPackWriter.whole(out, of.get1());
-            MsgPackWriter.text(out, of.get2());
-            MsgPackWriter.array(out, (int) (of.get1() & 0xfffff));
-            MsgPackWriter.binaryHead(out, (int) (of.get1() & 0xfffff));
-            MsgPackWriter.nil(out);
-            MsgPackWriter.flag(out, true);
+            MsgPackWriter.writeUnsigned(out, sample.get1());
+            MsgPackWriter.writeString(out, sample.get2());
+            MsgPackWriter.writeArrayHeader(out, (int) (sample.get1() & 0xfffff));
+            MsgPackWriter.writeBinaryHeader(out, (int) (sample.get1() & 0xfffff));
+            MsgPackWriter.writeNil(out);
+            MsgPackWriter.writeBoolean(out, true);
             assertEquals(Unpooled.wrappedBuffer(packer.toByteArray()), out);
         }
     }
 
     @Provide
-    Arbitrary<Tuple.Tuple2<Long, String>> wholes() {
+    Arbitrary<Tuple.Tuple2<Long, String>> numbersAndStrings() {
         Arbitrary<Long> numbers = Arbitraries.integers().between(0, 62).flatMap(bits -> Arbitraries.longs()
             .between(0, (1L << bits)));
         return numbers.flatMap(n -> Arbitraries.strings().ofMaxLength(400).map(s -> Tuple.of(n, s)));
--- a/src/test/java/onyxpaddle/rpc/Recorder.java
+++ b/src/test/java/onyxpaddle/rpc/Recorder.java
@@ -5,11 +5,11 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Writes down what a decoder reads: a line for each frame. */
+/** Records what a decoder reads, one line per frame. */
 final class Recorder implements FrameSink {
     final List<String> frames = new ArrayList<>();
-    /** After each frame the decoder is asked to wait. */
-    boolean waits;
+    /** Whether the decoder is asked to pause after each frame. */
+    boolean pauseAfterFrame;
     private final StringBuilder payload = new StringBuilder();
     private String head;
 
@@ -38,6 +38,6 @@
     public boolean end() {
         frames.add((head + " " + payload).trim());
         payload.setLength(0);
-        return !waits;
+        return !pauseAfterFrame;
     }
 }
