--- a/src/test/java/onyxpaddle/serve/TakenRequestTest.java
+++ b/src/test/java/onyxpaddle/serve/AcceptedRequestTest.java
@@ -31,7 +31,7 @@
  * A taken request has one final answer in its caller's time, at every moment of a node's life and whatever its server does: the
  * table of {@code docs/design/0009-taken-requests.md}, a row a test, all of its cells at once.
  */
-class TakenRequestTest {
+class AcceptedRequestTest {
     private static final double PATIENCE_S = 0.8;
     /** Of the class: an end goes by it, and has room for these requests. */
     private static final double LONGEST_S = 2;
@@ -147,27 +147,27 @@
             try {
                 for (Behaviour b : Behaviour.values()) {
                     clients.put(b, new Client(node.address()));
-                    while (!clients.get(b).say("GET /ready HTTP/1.1\r\n\r\n").hear().startsWith("200")) {
+                    while (!clients.get(b).send("GET /ready HTTP/1.1\r\n\r\n").readAnswer().startsWith("200")) {
                         Thread.onSpinWait();
                     }
                 }
                 CompletableFuture<Void> ended = new CompletableFuture<>();
                 if (moment == Moment.TOLD_TO_END_BEFORE) {
                     ended = CompletableFuture.runAsync(node::drain);
-                    while (!clients.get(Behaviour.ANSWERS).say("GET /ready HTTP/1.1\r\n\r\n").hear().startsWith("503")) {
+                    while (!clients.get(Behaviour.ANSWERS).send("GET /ready HTTP/1.1\r\n\r\n").readAnswer().startsWith("503")) {
                         Thread.onSpinWait();
                     }
                 }
                 long start = System.nanoTime();
                 for (Map.Entry<Behaviour, Client> one : clients.entrySet()) {
-                    one.getValue().say(Loopback.request(one.getKey().name(), "book", "Content-Length: 0", "X-Expires-In: " + PATIENCE_S));
+                    one.getValue().send(Loopback.request(one.getKey().name(), "book", "Content-Length: 0", "X-Expires-In: " + PATIENCE_S));
                 }
                 switch (moment) {
                     case RELOADED -> node.reload(Map.of("GW_CONFIG",
                         Files.writeString(folder.resolve("config.json"), config(second, server)).toString()));
                     case DRAINED -> {
                         try (Client operator = new Client(node.adminAddress())) {
-                            assertTrue(operator.say("POST /drain HTTP/1.1\r\n\r\n").hear().startsWith("200"));
+                            assertTrue(operator.send("POST /drain HTTP/1.1\r\n\r\n").readAnswer().startsWith("200"));
                         }
                     }
                     case TOLD_TO_END_AFTER -> ended = CompletableFuture.runAsync(node::drain);
@@ -180,7 +180,7 @@
                 }
                 assertEquals(EnumSet.allOf(Behaviour.class), server.heard, "none was refused before it was sent on");
                 if (moment == Moment.TOLD_TO_END_AFTER || moment == Moment.TOLD_TO_END_BEFORE) {
-                    ended.get(Loopback.PATIENCE_MS, TimeUnit.MILLISECONDS);
+                    ended.get(Loopback.TIMEOUT_MS, TimeUnit.MILLISECONDS);
                 }
             } finally {
                 for (Client client : clients.values()) {
--- a/src/test/java/onyxpaddle/serve/AnnouncingTest.java
+++ b/src/test/java/onyxpaddle/serve/BgpAnnouncementTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Test;
 
 /** A node by file announces its service while it serves, and takes that back as it drains, fails, changes and ends. */
-class AnnouncingTest {
+class BgpAnnouncementTest {
     private static final String ADDRESS = "10.9.8.7/32";
     private static final String BOOK = "POST /visits HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n";
 
@@ -45,7 +45,7 @@
     }
 
     private static void await(String what, Callable<Boolean> holds) throws Exception {
-        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(Loopback.PATIENCE_MS);
+        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(Loopback.TIMEOUT_MS);
         while (!holds.call()) {
             assertTrue(System.nanoTime() < end, what);
             TimeUnit.MILLISECONDS.sleep(1);
@@ -58,7 +58,7 @@
 
     private static void call(Sidecar node, String path) throws Exception {
         try (Client operator = new Client(node.adminAddress())) {
-            assertTrue(operator.say("POST " + path + " HTTP/1.1\r\n\r\n").hear().startsWith("200"));
+            assertTrue(operator.send("POST " + path + " HTTP/1.1\r\n\r\n").readAnswer().startsWith("200"));
         }
     }
 
@@ -68,15 +68,15 @@
             Sidecar node = Sidecar.start(config(router, box.address(), ADDRESS));
             await("not announced", () -> router.table().containsKey(ADDRESS));
             try (Client busy = new Client(node.address("in")); Client idle = new Client(node.address("in"))) {
-                busy.say(BOOK);
-                box.heard();
+                busy.send(BOOK);
+                box.nextRequest();
                 call(node, "/drain");
                 await("the drain is not said", () -> router.table().getOrDefault(ADDRESS, "").contains("ffff0000"));
                 // The node is empty by now but for the one request, which is what keeps the route.
-                assertNull(idle.hear());
+                assertNull(idle.readAnswer());
                 assertTrue(router.table().containsKey(ADDRESS));
                 box.answers.add(Loopback.ok("taken"));
-                assertEquals("200 taken", busy.hear());
+                assertEquals("200 taken", busy.readAnswer());
                 long answered = System.nanoTime();
                 await("not withdrawn", () -> !router.table().containsKey(ADDRESS));
                 assertTrue(router.changes().get(2).at() - answered < TimeUnit.SECONDS.toNanos(2));
@@ -96,18 +96,18 @@
             await("not announced", () -> router.table().containsKey(ADDRESS));
             long failing = System.nanoTime();
             while (router.table().containsKey(ADDRESS)) {
-                assertTrue(System.nanoTime() - failing < TimeUnit.MILLISECONDS.toNanos(Loopback.PATIENCE_MS), "not withdrawn");
+                assertTrue(System.nanoTime() - failing < TimeUnit.MILLISECONDS.toNanos(Loopback.TIMEOUT_MS), "not withdrawn");
                 try (Client client = new Client(node.address("in"))) {
-                    box.answers.add(FakeServer.BREAK);
-                    client.say(BOOK).hear();
+                    box.answers.add(FakeServer.RESET);
+                    client.send(BOOK).readAnswer();
                 }
             }
             // Whoever still comes, such as a caller on the same machine, finds it well again, and it is announced.
-            box.heard.clear();
+            box.requests.clear();
             await("not announced again", () -> {
                 try (Client client = new Client(node.address("in"))) {
                     box.answers.add(Loopback.ok("well"));
-                    return client.say(BOOK).hear() != null && router.table().containsKey(ADDRESS);
+                    return client.send(BOOK).readAnswer() != null && router.table().containsKey(ADDRESS);
                 }
             });
             assertEquals(List.of(), router.faults());
@@ -140,15 +140,15 @@
             Sidecar node = Sidecar.start(config(router, box.address(), ADDRESS));
             await("not announced", () -> router.table().containsKey(ADDRESS));
             try (Client busy = new Client(node.address("in"))) {
-                busy.say(BOOK);
-                box.heard();
+                busy.send(BOOK);
+                box.nextRequest();
                 Thread end = new Thread(node::drain);
                 end.start();
                 await("the end is not said", () -> router.table().getOrDefault(ADDRESS, "").contains("ffff0000"));
                 box.answers.add(Loopback.ok("taken"));
-                assertEquals("200 taken", busy.hear());
+                assertEquals("200 taken", busy.readAnswer());
                 busy.socket.close();
-                end.join(Loopback.PATIENCE_MS);
+                end.join(Loopback.TIMEOUT_MS);
             }
             assertEquals(List.of("6/2"), router.notifications());
             assertEquals(false, router.changes().get(router.changes().size() - 1).announced());
--- a/src/test/java/onyxpaddle/serve/HeldLoop.java
+++ b/src/test/java/onyxpaddle/serve/BlockedEventLoop.java
@@ -12,22 +12,22 @@
  * A node's event loop that stands still until it is let go, as on a core that others use. What comes to its sockets meanwhile is met in
  * the order in which it came.
  */
-final class HeldLoop {
+final class BlockedEventLoop {
     private final CountDownLatch stands = new CountDownLatch(1);
     private final CountDownLatch go = new CountDownLatch(1);
     private final SingleThreadEventLoop loop;
     private final BooleanSupplier reached;
 
-    private HeldLoop(EventLoop loop, BooleanSupplier reached) {
+    private BlockedEventLoop(EventLoop loop, BooleanSupplier reached) {
         this.loop = (SingleThreadEventLoop) loop;
         this.reached = reached;
     }
 
     /** Returns once it stands. */
-    HeldLoop(EventLoop loop) throws InterruptedException {
+    BlockedEventLoop(EventLoop loop) throws InterruptedException {
         this(loop, () -> true);
         loop.execute(this::stand);
-        awaitStanding();
+        awaitBlocked();
     }
 
     /**
@@ -36,8 +36,8 @@
      * where the test itself stops the loop on a busy machine. In that one more turn the system forgets which sockets were read last, so
      * that those to which something comes during the stop are met in that order.
      */
-    static HeldLoop when(EventLoop loop, BooleanSupplier reached) {
-        HeldLoop held = new HeldLoop(loop, reached);
+    static BlockedEventLoop blockWhen(EventLoop loop, BooleanSupplier reached) {
+        BlockedEventLoop held = new BlockedEventLoop(loop, reached);
         loop.execute(held::standOnceReached);
         return held;
     }
@@ -60,8 +60,8 @@
         }
     }
 
-    HeldLoop awaitStanding() throws InterruptedException {
-        assertTrue(stands.await(Loopback.PATIENCE_MS, TimeUnit.MILLISECONDS), "the loop never came to where it should stand");
+    BlockedEventLoop awaitBlocked() throws InterruptedException {
+        assertTrue(stands.await(Loopback.TIMEOUT_MS, TimeUnit.MILLISECONDS), "the loop never came to where it should stand");
         return this;
     }
 
--- a/src/test/java/onyxpaddle/serve/GoneClientTest.java
+++ b/src/test/java/onyxpaddle/serve/ClientDisconnectTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** A client that has closed its connection has gone: no attempt begins for it from 0.1 s on, however late the node's loop is. */
-class GoneClientTest {
+class ClientDisconnectTest {
     private static final long BEHIND_MS = 250;
     /** More than can have begun before the client leaves, so that one more could begin after it. */
     private static final int MOST_ATTEMPTS = 20;
@@ -61,18 +61,18 @@
     }
 
     private long attempts() throws Exception {
-        return node.loop().submit(() -> node.tally().attempts()).get(Loopback.PATIENCE_MS, TimeUnit.MILLISECONDS);
+        return node.loop().submit(() -> node.tally().attempts()).get(Loopback.TIMEOUT_MS, TimeUnit.MILLISECONDS);
     }
 
     /** Lets the loop stand right after the turn in which so many attempts are written. */
-    private HeldLoop heldOnceWritten(long attempts) {
-        return HeldLoop.when(node.loop(), () -> node.tally().attempts() >= attempts);
+    private BlockedEventLoop heldOnceWritten(long attempts) {
+        return BlockedEventLoop.blockWhen(node.loop(), () -> node.tally().attempts() >= attempts);
     }
 
     /** Each of these attempts was this request's. */
     private void serverHeard(String id, long count) throws Exception {
         for (long i = 0; i < count; i++) {
-            assertTrue(server.heard().contains("X-Trace-Id: " + id + "\r\n"));
+            assertTrue(server.nextRequest().contains("X-Trace-Id: " + id + "\r\n"));
         }
     }
 
@@ -93,10 +93,10 @@
         assertEquals(written, attempts());
         server.answers.add(Loopback.ok("last"));
         try (Client client = new Client(node.address())) {
-            assertEquals("200 last", client.say(Loopback.request("last", "book", "Content-Length: 0")).hear());
+            assertEquals("200 last", client.send(Loopback.request("last", "book", "Content-Length: 0")).readAnswer());
         }
         serverHeard("last", 1);
-        assertEquals(0, server.heard.size(), () -> String.join("", server.heard));
+        assertEquals(0, server.requests.size(), () -> String.join("", server.requests));
         assertEquals(written + 1, attempts());
     }
 
@@ -105,8 +105,8 @@
     void requestAndCloseThatAreReadTogetherStartNothing(String requestClass) throws Exception {
         try (Client gone = new Client(node.address())) {
             gone.awaitReady();
-            HeldLoop held = new HeldLoop(node.loop());
-            gone.say(Loopback.request("gone", requestClass, "Content-Length: 0"));
+            BlockedEventLoop held = new BlockedEventLoop(node.loop());
+            gone.send(Loopback.request("gone", requestClass, "Content-Length: 0"));
             gone.socket.close();
             held.releaseAfter(BEHIND_MS);
             settle();
@@ -118,9 +118,9 @@
     @Test
     void whatWasSentAheadIsNotSentOnOnceItsClientHasLeft() throws Exception {
         try (Client gone = new Client(node.address())) {
-            gone.say(Loopback.request("r1", "book", "Content-Length: 0") + Loopback.request("r2", "book", "Content-Length: 0")
+            gone.send(Loopback.request("r1", "book", "Content-Length: 0") + Loopback.request("r2", "book", "Content-Length: 0")
                 + Loopback.request("r3", "read"));
-            assertTrue(server.heard().contains("r1"));
+            assertTrue(server.nextRequest().contains("r1"));
             gone.socket.close();
             settle();
             answerNobody(1);
@@ -133,29 +133,29 @@
     void attemptThatIsDueBeforeTheCloseIsReadDoesNotBegin() throws Exception {
         try (Client gone = new Client(node.address()); Client other = new Client(node.address())) {
             // Two connections to the server are kept, so that no dial stands between the decision and the attempt.
-            gone.say(Loopback.request("w1", "book", "Content-Length: 0"));
-            other.say(Loopback.request("w2", "book", "Content-Length: 0"));
-            server.heard();
-            server.heard();
+            gone.send(Loopback.request("w1", "book", "Content-Length: 0"));
+            other.send(Loopback.request("w2", "book", "Content-Length: 0"));
+            server.nextRequest();
+            server.nextRequest();
             server.answers.add(Loopback.ok("warm"));
             server.answers.add(Loopback.ok("warm"));
-            assertEquals("200 warm", gone.hear());
-            assertEquals("200 warm", other.hear());
+            assertEquals("200 warm", gone.readAnswer());
+            assertEquals("200 warm", other.readAnswer());
             // They rest before they are used again; the rest is the node's own, by its clock.
             TimeUnit.MILLISECONDS.sleep(30);
-            HeldLoop held = heldOnceWritten(WARM + 1);
-            gone.say(Loopback.request("gone", "read"));
-            held.awaitStanding();
+            BlockedEventLoop held = heldOnceWritten(WARM + 1);
+            gone.send(Loopback.request("gone", "read"));
+            held.awaitBlocked();
             long begun = node.tally().attempts() - WARM;
             serverHeard("gone", begun);
-            other.say(Loopback.request("other", "book", "Content-Length: 0"));
+            other.send(Loopback.request("other", "book", "Content-Length: 0"));
             gone.socket.close();
             held.releaseAfter(BEHIND_MS);
             serverHeard("other", 1);
             settle();
             // Whichever of its threads comes first: the other's caller has one of them.
             answerNobody(begun + 1);
-            assertEquals("200 for nobody", other.hear());
+            assertEquals("200 for nobody", other.readAnswer());
             noAttemptBeyond(WARM + begun + 1);
         }
     }
@@ -164,12 +164,12 @@
     @Test
     void closeBehindMoreThanWaitsIsSeen() throws Exception {
         try (Client gone = new Client(node.address())) {
-            HeldLoop beforeAll = new HeldLoop(node.loop());
-            HeldLoop held = heldOnceWritten(1);
+            BlockedEventLoop beforeAll = new BlockedEventLoop(node.loop());
+            BlockedEventLoop held = heldOnceWritten(1);
             // Read in one turn of the loop: the request, and of what is sent ahead as much as may wait.
-            gone.say(Loopback.request("gone", "read") + Loopback.request("ahead", "book", "Content-Length: " + AHEAD) + "x".repeat(AHEAD));
+            gone.send(Loopback.request("gone", "read") + Loopback.request("ahead", "book", "Content-Length: " + AHEAD) + "x".repeat(AHEAD));
             beforeAll.release();
-            held.awaitStanding();
+            held.awaitBlocked();
             long begun = node.tally().attempts();
             serverHeard("gone", begun);
             gone.socket.close();
--- a/src/test/java/onyxpaddle/serve/ClientRequestTest.java
+++ b/src/test/java/onyxpaddle/serve/ClientRequestTest.java
@@ -45,12 +45,12 @@
     void turnsAwayWhatIsNoRequest(String text) throws Exception {
         try (FakeServer server = new FakeServer("s1", Loopback.ok("served"), Loopback.ok("served"));
                 Loopback on = new Loopback(server); Client bad = on.client(); Client good = on.client()) {
-            String answer = bad.say(text).hear();
+            String answer = bad.send(text).readAnswer();
             assertTrue(answer.startsWith("4"), answer);
-            assertNull(bad.hear(), "the connection goes on");
-            assertEquals("200 served", good.say(Loopback.request("r9", "read")).hear());
-            assertTrue(server.heard().contains("r9"));
-            assertEquals(0, server.heard.size());
+            assertNull(bad.readAnswer(), "the connection goes on");
+            assertEquals("200 served", good.send(Loopback.request("r9", "read")).readAnswer());
+            assertTrue(server.nextRequest().contains("r9"));
+            assertEquals(0, server.requests.size());
         }
     }
 
@@ -60,7 +60,7 @@
     void whatNeverBecomesARequestIsEndedWithinThreeSeconds(String text) throws Exception {
         try (FakeServer server = new FakeServer("s1"); Loopback on = new Loopback(server); Client bad = on.client()) {
             long start = System.nanoTime();
-            String answer = bad.say(text).hear();
+            String answer = bad.send(text).readAnswer();
             assertTrue(answer == null || answer.equals("408 "), answer);
             assertTrue(System.nanoTime() - start < 3_000_000_000L);
         }
@@ -70,11 +70,11 @@
     void anotherClientsOpenRequestKeepsItsId() throws Exception {
         try (FakeServer server = new FakeServer("s1"); Loopback on = new Loopback(server); Client first = on.client();
                 Client thief = on.client()) {
-            first.say(Loopback.request("r1", "book", "Content-Length: 0"));
-            assertTrue(server.heard().contains("r1"));
-            assertEquals("400 ", thief.say(Loopback.request("r1", "book", "Content-Length: 0")).hear());
+            first.send(Loopback.request("r1", "book", "Content-Length: 0"));
+            assertTrue(server.nextRequest().contains("r1"));
+            assertEquals("400 ", thief.send(Loopback.request("r1", "book", "Content-Length: 0")).readAnswer());
             server.answers.add(Loopback.ok("first"));
-            assertEquals("200 first", first.hear());
+            assertEquals("200 first", first.readAnswer());
         }
     }
 
@@ -84,11 +84,11 @@
         try (FakeServer server = new FakeServer("s1", Loopback.ok("served")); Loopback on = new Loopback(server)) {
             // More than the node's share of descriptors for clients.
             for (int i = 0; i < 150; i++) {
-                bad.add(on.client().say("GET /re"));
+                bad.add(on.client().send("GET /re"));
             }
             long start = System.nanoTime();
             try (Client good = on.client()) {
-                assertEquals("200 served", good.say(Loopback.request("r1", "read")).hear());
+                assertEquals("200 served", good.send(Loopback.request("r1", "read")).readAnswer());
             }
             assertTrue(System.nanoTime() - start < 1_500_000_000L, "it had to wait for the others' time to run out");
         } finally {
@@ -110,10 +110,10 @@
             for (int i = 0; i < 300; i++) {
                 burst.append(Loopback.request("r" + i, "read"));
             }
-            bad.say(burst.toString());
-            assertEquals("200 served", bad.hear());
+            bad.send(burst.toString());
+            assertEquals("200 served", bad.readAnswer());
             int heard = 1;
-            while (bad.hear() != null) {
+            while (bad.readAnswer() != null) {
                 heard++;
             }
             assertTrue(heard < 40, heard + " of what was sent ahead were taken");
--- a/src/test/java/onyxpaddle/serve/CrossedConnectionTest.java
+++ b/src/test/java/onyxpaddle/serve/ConnectionRaceTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** What one side does with a connection in the same turn of the node's loop in which it is used, or let go, for another reason. */
-class CrossedConnectionTest {
+class ConnectionRaceTest {
     /** Longer than the loop's turns, and shorter than any time-out here. */
     private static final long BEHIND_MS = 50;
     /** Of 256 descriptors, the connections from which on clients are too many. */
@@ -27,12 +27,12 @@
     void keptConnectionThatItsServerHasSpoiltIsNotUsed(String how) throws Exception {
         try (FakeServer server = new FakeServer("s1", Loopback.ok("first"), Loopback.ok("second")); Loopback on = new Loopback(server);
                 Client client = on.client()) {
-            assertEquals("200 first", client.say(Loopback.request("r1", "book", "Content-Length: 0")).hear());
+            assertEquals("200 first", client.send(Loopback.request("r1", "book", "Content-Length: 0")).readAnswer());
             Socket kept = server.connections.take();
             // It rests before it is used again; the rest is the node's own, by its clock.
             TimeUnit.MILLISECONDS.sleep(30);
-            HeldLoop held = new HeldLoop(on.node.loop());
-            client.say(Loopback.request("r2", "book", "Content-Length: 0"));
+            BlockedEventLoop held = new BlockedEventLoop(on.node.loop());
+            client.send(Loopback.request("r2", "book", "Content-Length: 0"));
             switch (how) {
                 case "reset" -> {
                     kept.setSoLinger(true, 0);
@@ -42,7 +42,7 @@
                 default -> kept.getOutputStream().write(how.getBytes(StandardCharsets.ISO_8859_1));
             }
             held.releaseAfter(BEHIND_MS);
-            assertEquals("200 second", client.hear());
+            assertEquals("200 second", client.readAnswer());
         }
     }
 
@@ -54,12 +54,12 @@
             for (int i = 1; i < CROWD; i++) {
                 idle.add(on.client().awaitReady());
             }
-            HeldLoop held = new HeldLoop(on.node.loop());
+            BlockedEventLoop held = new BlockedEventLoop(on.node.loop());
             idle.add(on.client());
-            idle.get(0).say(Loopback.request("r1", "book", "Content-Length: 0"));
+            idle.get(0).send(Loopback.request("r1", "book", "Content-Length: 0"));
             held.releaseAfter(BEHIND_MS);
-            assertEquals("200 served", idle.get(0).hear());
-            assertTrue(server.heard().contains("r1"));
+            assertEquals("200 served", idle.get(0).readAnswer());
+            assertTrue(server.nextRequest().contains("r1"));
         } finally {
             for (Client client : idle) {
                 client.close();
--- a/src/test/java/onyxpaddle/serve/DistributedNodeTest.java
+++ b/src/test/java/onyxpaddle/serve/DistributedNodeTest.java
@@ -76,7 +76,7 @@
 
         int end() throws Exception {
             signal("TERM");
-            assertTrue(process.waitFor(Loopback.PATIENCE_MS, TimeUnit.MILLISECONDS), log());
+            assertTrue(process.waitFor(Loopback.TIMEOUT_MS, TimeUnit.MILLISECONDS), log());
             return process.exitValue();
         }
 
@@ -89,7 +89,7 @@
     /** What a node answers to a GET, head and all; empty where it doesn't. */
     private static String ask(InetSocketAddress at, String path) {
         try (java.net.Socket socket = new java.net.Socket(at.getAddress(), at.getPort())) {
-            socket.setSoTimeout(Loopback.PATIENCE_MS);
+            socket.setSoTimeout(Loopback.TIMEOUT_MS);
             socket.getOutputStream().write(("GET " + path + " HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n").getBytes());
             return new String(socket.getInputStream().readAllBytes());
         } catch (IOException e) {
@@ -167,7 +167,7 @@
             Files.writeString(file, Files.readString(file).replace("servers:", "server:"));
             try (Running node = new Running(Map.of(), "serve", "--config", file.toString(), "--control",
                     "127.0.0.1:" + replica.address().getPort())) {
-                assertTrue(node.process.waitFor(Loopback.PATIENCE_MS, TimeUnit.MILLISECONDS));
+                assertTrue(node.process.waitFor(Loopback.TIMEOUT_MS, TimeUnit.MILLISECONDS));
                 assertEquals(EXIT_CONFIG, node.process.exitValue(), node.log());
                 assertTrue(node.log().contains("\n" + file + ":9:9: pools.app.server: unknown key; did you mean `servers`?"), node.log());
             }
--- a/src/test/java/onyxpaddle/serve/DrainTest.java
+++ b/src/test/java/onyxpaddle/serve/DrainTest.java
@@ -15,23 +15,23 @@
     void openConnectionsServeOnAndTheNodeEnds() throws Exception {
         try (FakeServer server = new FakeServer("s1"); Loopback on = new Loopback(server); Client taken = on.client();
                 Client kept = on.client()) {
-            while (!kept.say(READY).hear().startsWith("200")) {
+            while (!kept.send(READY).readAnswer().startsWith("200")) {
                 Thread.onSpinWait();
             }
-            taken.say(Loopback.request("r1", "book", "Content-Length: 0"));
-            server.heard();
+            taken.send(Loopback.request("r1", "book", "Content-Length: 0"));
+            server.nextRequest();
             Thread drain = new Thread(on.node::drain);
             drain.start();
-            while (!kept.say(READY).hear().startsWith("503")) {
+            while (!kept.send(READY).readAnswer().startsWith("503")) {
                 Thread.onSpinWait();
             }
             server.answers.add(Loopback.ok("taken"));
-            assertEquals("200 taken", taken.hear());
+            assertEquals("200 taken", taken.readAnswer());
             server.answers.add(Loopback.ok("kept"));
-            assertEquals("200 kept", kept.say(Loopback.request("r2", "read", "X-Expires-In: 5")).hear());
+            assertEquals("200 kept", kept.send(Loopback.request("r2", "read", "X-Expires-In: 5")).readAnswer());
             taken.socket.close();
             kept.socket.close();
-            drain.join(Loopback.PATIENCE_MS);
+            drain.join(Loopback.TIMEOUT_MS);
             assertFalse(drain.isAlive());
         }
     }
--- a/src/test/java/onyxpaddle/serve/BusyLoopTest.java
+++ b/src/test/java/onyxpaddle/serve/EventLoopDelayTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 
 /** A node whose loop gets to its sockets late: a request's time counts from when it came, and not from when it was read. */
-class BusyLoopTest {
+class EventLoopDelayTest {
     private static final double PATIENCE_S = 1.5;
     private static final long BUSY_MS = 1_200;
 
@@ -20,18 +20,18 @@
             String config = Loopback.config(discovery, silent).replace("\"deadlineS\":10", "\"deadlineS\":" + PATIENCE_S);
             Node node = Node.start(PlatformConfig.parse(config.getBytes(StandardCharsets.UTF_8), Map.of()));
             try (Client open = new Client(node.address())) {
-                while (!open.say("GET /ready HTTP/1.1\r\n\r\n").hear().startsWith("200")) {
+                while (!open.send("GET /ready HTTP/1.1\r\n\r\n").readAnswer().startsWith("200")) {
                     Thread.onSpinWait();
                 }
-                HeldLoop held = new HeldLoop(node.loop());
+                BlockedEventLoop held = new BlockedEventLoop(node.loop());
                 long start = System.nanoTime();
-                open.say(Loopback.request("r1", "book", "Content-Length: 0"));
+                open.send(Loopback.request("r1", "book", "Content-Length: 0"));
                 try (Client fresh = new Client(node.address())) {
-                    fresh.say(Loopback.request("r2", "book", "Content-Length: 0"));
+                    fresh.send(Loopback.request("r2", "book", "Content-Length: 0"));
                     held.releaseAfter(BUSY_MS);
-                    assertEquals('5', open.hear().charAt(0));
+                    assertEquals('5', open.readAnswer().charAt(0));
                     assertInTime(start);
-                    assertEquals('5', fresh.hear().charAt(0));
+                    assertEquals('5', fresh.readAnswer().charAt(0));
                     assertInTime(start);
                 }
             } finally {
--- a/src/test/java/onyxpaddle/serve/FullServer.java
+++ b/src/test/java/onyxpaddle/serve/FullBacklogServer.java
@@ -8,38 +8,38 @@
 import java.util.List;
 
 /** A server whose queue for connections can be filled, so that a dial hangs until it is emptied and the system tries again. */
-final class FullServer implements AutoCloseable {
+final class FullBacklogServer implements AutoCloseable {
     private final ServerSocket listener = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"));
     private final List<Socket> fill = new ArrayList<>();
 
-    FullServer() throws IOException {
-        listener.setSoTimeout(Loopback.PATIENCE_MS);
+    FullBacklogServer() throws IOException {
+        listener.setSoTimeout(Loopback.TIMEOUT_MS);
     }
 
     String address() {
         return "127.0.0.1:" + listener.getLocalPort();
     }
 
-    FullServer filled() throws IOException {
+    FullBacklogServer fillBacklog() throws IOException {
         for (int i = 0; i < 2; i++) {
             fill.add(new Socket(listener.getInetAddress(), listener.getLocalPort()));
         }
         return this;
     }
 
-    Socket next() throws IOException {
+    Socket accept() throws IOException {
         Socket socket = listener.accept();
-        socket.setSoTimeout(Loopback.PATIENCE_MS);
+        socket.setSoTimeout(Loopback.TIMEOUT_MS);
         return socket;
     }
 
     /** Takes off what filled it, and returns what came last. */
-    Socket late() throws IOException {
+    Socket acceptDelayed() throws IOException {
         for (Socket socket : fill) {
             listener.accept().close();
             socket.close();
         }
-        return next();
+        return accept();
     }
 
     @Override
--- a/src/test/java/onyxpaddle/serve/FurtherAttemptDeadlineTest.java
+++ b/src/test/java/onyxpaddle/serve/FurtherAttemptDeadlineTest.java
@@ -70,36 +70,36 @@
     void afterAnAttemptThatTookLong(String requestClass) throws Exception {
         try (FakeServer server = new FakeServer("s1"); Loopback on = new Loopback(server); Client client = on.client().awaitReady()) {
             Waiting waiting = new Waiting();
-            client.say(Loopback.request("r1", requestClass, EXPIRES, "Content-Length: 0"));
-            assertWithin(PATIENCE_S, told(server.heard()));
+            client.send(Loopback.request("r1", requestClass, EXPIRES, "Content-Length: 0"));
+            assertWithin(PATIENCE_S, told(server.nextRequest()));
             faultLasts();
             double left = waiting.left();
-            server.answers.add(requestClass.equals("read") ? FakeServer.BREAK : NEVER_RAN);
-            assertWithin(left, told(server.heard()));
+            server.answers.add(requestClass.equals("read") ? FakeServer.RESET : NEVER_RAN);
+            assertWithin(left, told(server.nextRequest()));
             server.answers.add(Loopback.ok("done"));
-            assertEquals("200 done", client.hear());
+            assertEquals("200 done", client.readAnswer());
         }
     }
 
     @Test
     void afterADialThatCameUpLate() throws Exception {
-        try (FakeServer named = new FakeServer("s1"); FullServer full = new FullServer();
+        try (FakeServer named = new FakeServer("s1"); FullBacklogServer full = new FullBacklogServer();
                 FakeDiscovery discovery = new FakeDiscovery(Loopback.list(1, named).replace(named.address(), full.address()))) {
             Node node = Node.start(PlatformConfig.parse(Loopback.config(discovery, named).getBytes(StandardCharsets.UTF_8), Map.of()));
             try (Client client = new Client(node.address()).awaitReady()) {
                 Waiting waiting = new Waiting();
-                client.say(booking("r1"));
-                try (Socket first = full.next()) {
+                client.send(booking("r1"));
+                try (Socket first = full.accept()) {
                     Loopback.head(first.getInputStream());
-                    full.filled();
+                    full.fillBacklog();
                     String closes = NEVER_RAN.replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n");
                     first.getOutputStream().write(closes.getBytes(StandardCharsets.US_ASCII));
                     faultLasts();
                     double left = waiting.left();
-                    try (Socket late = full.late()) {
+                    try (Socket late = full.acceptDelayed()) {
                         assertWithin(left, told(Loopback.head(late.getInputStream())));
                         late.getOutputStream().write(Loopback.ok("late").getBytes(StandardCharsets.US_ASCII));
-                        assertEquals("200 late", client.hear());
+                        assertEquals("200 late", client.readAnswer());
                     }
                 }
             } finally {
@@ -117,7 +117,7 @@
                 void serve(Socket socket) throws Exception {
                     for (String head = Loopback.head(socket.getInputStream()); head != null;
                             head = Loopback.head(socket.getInputStream())) {
-                        heard.add(head);
+                        requests.add(head);
                         if (head.contains("X-Trace-Id: fills")) {
                             free.await();
                             socket.getOutputStream().write(Loopback.ok("fills").getBytes(StandardCharsets.US_ASCII));
@@ -130,21 +130,21 @@
             List<Client> fill = new ArrayList<>();
             int limit = (int) on.node.loop().submit(() -> on.node.pools().get("").snapshot()).syncUninterruptibly().getNow().admitLimit();
             for (int i = 0; i < limit; i++) {
-                fill.add(on.client().say(Loopback.request("fills" + i, "book", "Content-Length: 0")));
-                server.heard();
+                fill.add(on.client().send(Loopback.request("fills" + i, "book", "Content-Length: 0")));
+                server.nextRequest();
             }
             Waiting waiting = new Waiting();
-            waits.say(booking("waits"));
+            waits.send(booking("waits"));
             on.client().awaitReady().close();
-            assertEquals(0, server.heard.size(), "it has to wait");
+            assertEquals(0, server.requests.size(), "it has to wait");
             faultLasts();
             double left = waiting.left();
             free.countDown();
-            assertWithin(left, told(server.heard()));
+            assertWithin(left, told(server.nextRequest()));
             server.answers.add(NEVER_RAN);
-            assertWithin(left, told(server.heard()));
+            assertWithin(left, told(server.nextRequest()));
             server.answers.add(Loopback.ok("done"));
-            assertEquals("200 done", waits.hear());
+            assertEquals("200 done", waits.readAnswer());
             for (Client client : fill) {
                 client.close();
             }
@@ -155,16 +155,16 @@
     @Test
     void afterASlowTurnOfTheLoop() throws Exception {
         try (FakeServer server = new FakeServer("s1"); Loopback on = new Loopback(server); Client client = on.client().awaitReady()) {
-            HeldLoop held = new HeldLoop(on.node.loop());
+            BlockedEventLoop held = new BlockedEventLoop(on.node.loop());
             Waiting waiting = new Waiting();
-            client.say(booking("r1"));
+            client.send(booking("r1"));
             held.releaseAfter(FAULT_MS);
-            assertWithin(PATIENCE_S - FAULT_MS / 1e3, told(server.heard()));
+            assertWithin(PATIENCE_S - FAULT_MS / 1e3, told(server.nextRequest()));
             double left = waiting.left();
             server.answers.add(NEVER_RAN);
-            assertWithin(left, told(server.heard()));
+            assertWithin(left, told(server.nextRequest()));
             server.answers.add(Loopback.ok("done"));
-            assertEquals("200 done", client.hear());
+            assertEquals("200 done", client.readAnswer());
         }
     }
 
@@ -174,10 +174,10 @@
         try (RpcRig.Box box = new RpcRig.Box("one"); RpcRig rig = new RpcRig(RpcRig.config("rpc: {envelope: true}", box.rpcOnly("one")));
                 RpcCaller caller = rig.caller()) {
             assertTrue(caller.ask("look.up", text("w1")).ok());
-            HeldLoop held = new HeldLoop(rig.node.loop());
+            BlockedEventLoop held = new BlockedEventLoop(rig.node.loop());
             CompletableFuture<?> refused = caller.call("refuse", RpcCaller.envelope("expires", (long) (PATIENCE_S * 1e3)), text("c1"));
             held.releaseAfter(FAULT_MS);
-            refused.get(RpcRig.PATIENCE_S, TimeUnit.SECONDS);
+            refused.get(RpcRig.TIMEOUT_S, TimeUnit.SECONDS);
             assertWithin(PATIENCE_S - FAULT_MS / 1e3, box.rpc.lastEnvelope().get(text("expires")).asNumberValue().toLong() / 1e3);
         }
     }
--- a/src/test/java/onyxpaddle/serve/BrokenListsTest.java
+++ b/src/test/java/onyxpaddle/serve/IncompleteListTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Lists that break off, stall or lie about their length: what was not read whole does not count, and is asked for again. */
-class BrokenListsTest {
+class IncompleteListTest {
     /** Answers call after call as its script says; {@code -} holds the answer back for good. */
     private static final class Flaky extends Loopback.Peer {
         final BlockingQueue<String> answers = new LinkedBlockingQueue<>();
@@ -69,15 +69,15 @@
                 long start = System.nanoTime();
                 try (Client client = new Client(node.address())) {
                     for (int i = 0; i < 3; i++) {
-                        assertTrue(discovery.calls.poll(Loopback.PATIENCE_MS, TimeUnit.MILLISECONDS).startsWith("GET /v1/endpoints"));
+                        assertTrue(discovery.calls.poll(Loopback.TIMEOUT_MS, TimeUnit.MILLISECONDS).startsWith("GET /v1/endpoints"));
                     }
                     // What two calls had to tell counted as told 4 s after each, at the latest.
                     assertTrue(System.nanoTime() - start < 4_000_000_000L, "the third call comes too late");
                     // The fourth call comes when the list that was whole is in force.
-                    assertTrue(discovery.calls.poll(Loopback.PATIENCE_MS, TimeUnit.MILLISECONDS).contains("after=2"));
+                    assertTrue(discovery.calls.poll(Loopback.TIMEOUT_MS, TimeUnit.MILLISECONDS).contains("after=2"));
                     after.answers.add(Loopback.ok("after"));
-                    assertEquals("200 after", client.say(Loopback.request("r1", "read")).hear());
-                    assertEquals(0, before.heard.size());
+                    assertEquals("200 after", client.send(Loopback.request("r1", "read")).readAnswer());
+                    assertEquals(0, before.requests.size());
                 } finally {
                     discovery.over.countDown();
                     node.stop();
@@ -96,10 +96,10 @@
                 Node node = node(discovery, known);
                 try (Client client = new Client(node.address())) {
                     for (int i = 0; i < 4; i++) {
-                        assertTrue(discovery.calls.poll(Loopback.PATIENCE_MS, TimeUnit.MILLISECONDS).startsWith("GET /v1/endpoints"));
+                        assertTrue(discovery.calls.poll(Loopback.TIMEOUT_MS, TimeUnit.MILLISECONDS).startsWith("GET /v1/endpoints"));
                     }
                     known.answers.add(Loopback.ok("known"));
-                    assertEquals("200 known", client.say(Loopback.request("r1", "read")).hear());
+                    assertEquals("200 known", client.send(Loopback.request("r1", "read")).readAnswer());
                 } finally {
                     discovery.over.countDown();
                     node.stop();
@@ -129,13 +129,13 @@
                 Node node = node(discovery, before);
                 try (Client client = new Client(node.address())) {
                     for (String after : List.of("wait_ms=0", "after=2")) {
-                        assertTrue(discovery.calls.poll(Loopback.PATIENCE_MS, TimeUnit.MILLISECONDS).contains(after));
+                        assertTrue(discovery.calls.poll(Loopback.TIMEOUT_MS, TimeUnit.MILLISECONDS).contains(after));
                     }
                     assertEquals(1_100, node.pools().get("").fleet().listed());
                     discovery.answers.add(Loopback.ok(gone));
-                    assertTrue(discovery.calls.poll(Loopback.PATIENCE_MS, TimeUnit.MILLISECONDS).contains("after=3"));
+                    assertTrue(discovery.calls.poll(Loopback.TIMEOUT_MS, TimeUnit.MILLISECONDS).contains("after=3"));
                     only.answers.add(Loopback.ok("left"));
-                    assertEquals("200 left", client.say(Loopback.request("r1", "book", "Content-Length: 0")).hear());
+                    assertEquals("200 left", client.send(Loopback.request("r1", "book", "Content-Length: 0")).readAnswer());
                 } finally {
                     discovery.over.countDown();
                     node.stop();
@@ -148,9 +148,9 @@
     @Test
     void callAfterASilentWatchDoesNotWaitForNews() throws Exception {
         try (FakeServer server = new FakeServer("s1"); Loopback on = new Loopback(server)) {
-            assertTrue(on.discovery.calls.poll(Loopback.PATIENCE_MS, TimeUnit.MILLISECONDS).contains("after=1&wait_ms=0 "));
-            assertTrue(on.discovery.calls.poll(Loopback.PATIENCE_MS, TimeUnit.MILLISECONDS).contains("after=1&wait_ms=2000 "));
-            assertTrue(on.discovery.calls.poll(Loopback.PATIENCE_MS, TimeUnit.MILLISECONDS).contains("after=1&wait_ms=0 "));
+            assertTrue(on.discovery.calls.poll(Loopback.TIMEOUT_MS, TimeUnit.MILLISECONDS).contains("after=1&wait_ms=0 "));
+            assertTrue(on.discovery.calls.poll(Loopback.TIMEOUT_MS, TimeUnit.MILLISECONDS).contains("after=1&wait_ms=2000 "));
+            assertTrue(on.discovery.calls.poll(Loopback.TIMEOUT_MS, TimeUnit.MILLISECONDS).contains("after=1&wait_ms=0 "));
         }
     }
 
@@ -166,10 +166,10 @@
                 Node node = Node.start(PlatformConfig.parse(config.getBytes(StandardCharsets.UTF_8),
                     Map.of("GW_DISCOVERY", discovery.address())));
                 try {
-                    assertTrue(discovery.calls.poll(Loopback.PATIENCE_MS, TimeUnit.MILLISECONDS) != null);
+                    assertTrue(discovery.calls.poll(Loopback.TIMEOUT_MS, TimeUnit.MILLISECONDS) != null);
                     long start = System.nanoTime();
                     for (int i = 0; i < 3; i++) {
-                        assertTrue(discovery.calls.poll(Loopback.PATIENCE_MS, TimeUnit.MILLISECONDS) != null);
+                        assertTrue(discovery.calls.poll(Loopback.TIMEOUT_MS, TimeUnit.MILLISECONDS) != null);
                     }
                     // The module's own pauses would be 1 to 2 s and 2 to 4 s.
                     long took = System.nanoTime() - start;
--- a/src/test/java/onyxpaddle/serve/LateDialTest.java
+++ b/src/test/java/onyxpaddle/serve/LateDialTest.java
@@ -33,17 +33,17 @@
     /** Where the site does not let attempts be given up, the dial goes on; what has not been sent need not be. */
     @Test
     void nothingIsWrittenForAClientThatLeftWhileItWaitedForTheDial() throws Exception {
-        try (FakeServer named = new FakeServer("s1"); FullServer full = new FullServer();
+        try (FakeServer named = new FakeServer("s1"); FullBacklogServer full = new FullBacklogServer();
                 FakeDiscovery discovery = new FakeDiscovery(Loopback.list(1, named).replace(named.address(), full.address()))) {
             Node node = node(discovery, Loopback.config(discovery, named).replace("\"cancel\":true", "\"cancel\":false"));
             try (Client gone = new Client(node.address())) {
-                full.filled();
-                gone.say(Loopback.request("gone", "book", "Content-Length: 0"));
+                full.fillBacklog();
+                gone.send(Loopback.request("gone", "book", "Content-Length: 0"));
                 Loopback.await(() -> unanswered(node) == 1);
                 gone.socket.close();
                 Loopback.await(() -> unanswered(node) == 0);
-                try (Socket late = full.late()) {
-                    late.setSoTimeout(Loopback.PATIENCE_MS);
+                try (Socket late = full.acceptDelayed()) {
+                    late.setSoTimeout(Loopback.TIMEOUT_MS);
                     assertEquals(-1, late.getInputStream().read());
                 }
             } finally {
@@ -55,19 +55,19 @@
     /** A dial may take longer than the grace after which nothing new goes to a server that was told to drain. */
     @Test
     void nothingIsWrittenToAServerThatWasToldToDrainDuringTheDial() throws Exception {
-        try (FakeServer named = new FakeServer("s1"); FullServer full = new FullServer();
+        try (FakeServer named = new FakeServer("s1"); FullBacklogServer full = new FullBacklogServer();
                 FakeDiscovery discovery = new FakeDiscovery(Loopback.list(1, named).replace(named.address(), full.address()))) {
             Node node = node(discovery, Loopback.config(discovery, named).replace("\"deadlineS\":10", "\"deadlineS\":3"));
             try (Client client = new Client(node.address())) {
-                full.filled();
-                client.say(Loopback.request("r1", "book", "Content-Length: 0"));
+                full.fillBacklog();
+                client.send(Loopback.request("r1", "book", "Content-Length: 0"));
                 Loopback.await(() -> unanswered(node) == 1);
                 discovery.lists.add(Loopback.list(2, named).replace(named.address(), full.address()).replace("ready", "draining"));
                 Loopback.await(() -> node.loop().submit(() -> node.pools().get("").fleet().avoided()).syncUninterruptibly().getNow() == 1);
-                try (Socket late = full.late()) {
+                try (Socket late = full.acceptDelayed()) {
                     assertEquals(-1, late.getInputStream().read());
                 }
-                assertEquals('5', client.hear().charAt(0));
+                assertEquals('5', client.readAnswer().charAt(0));
             } finally {
                 node.stop();
             }
@@ -77,23 +77,23 @@
     /** The first attempt may have run; the second is dialled within the time in which servers know the key, and comes up after it. */
     @Test
     void keyedRequestIsNotRepeatedAfterItsServersHaveForgottenTheKey() throws Exception {
-        try (FakeServer named = new FakeServer("s1"); FullServer full = new FullServer();
+        try (FakeServer named = new FakeServer("s1"); FullBacklogServer full = new FullBacklogServer();
                 FakeDiscovery discovery = new FakeDiscovery(Loopback.list(1, named).replace(named.address(), full.address()))) {
             Node node = node(discovery, Loopback.config(discovery, named).replace("\"effect\":\"non_idempotent\"",
                 "\"effect\":\"idempotency_key\",\"memorySpanS\":" + KNOWN_MS / 1000.0));
             try (Client client = new Client(node.address())) {
-                client.say(Loopback.request("k1", "book", "Content-Length: 0", "Idempotency-Key: k"));
-                Socket first = full.next();
+                client.send(Loopback.request("k1", "book", "Content-Length: 0", "Idempotency-Key: k"));
+                Socket first = full.accept();
                 assertTrue(Loopback.head(first.getInputStream()).contains("k1"));
-                full.filled();
+                full.fillBacklog();
                 first.setSoLinger(true, 0);
                 first.close();
                 // The dial hangs for longer than the key is known: this is the fault, and not a wait for something.
                 TimeUnit.MILLISECONDS.sleep(KNOWN_MS + 100);
-                try (Socket late = full.late()) {
+                try (Socket late = full.acceptDelayed()) {
                     assertEquals(-1, late.getInputStream().read());
                 }
-                assertEquals('5', client.hear().charAt(0));
+                assertEquals('5', client.readAnswer().charAt(0));
             } finally {
                 node.stop();
             }
--- a/src/test/java/onyxpaddle/serve/Loopback.java
+++ b/src/test/java/onyxpaddle/serve/Loopback.java
@@ -17,7 +17,7 @@
 
 /** A node on loopback sockets with a discovery, servers and clients that say byte for byte what a test wants. */
 final class Loopback implements AutoCloseable {
-    static final int PATIENCE_MS = 20_000;
+    static final int TIMEOUT_MS = 20_000;
 
     final Node node;
     final FakeDiscovery discovery;
@@ -72,7 +72,7 @@
     }
 
     static void await(java.util.function.BooleanSupplier check) throws InterruptedException {
-        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(PATIENCE_MS);
+        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TIMEOUT_MS);
         while (!check.getAsBoolean()) {
             if (System.nanoTime() > end) {
                 throw new AssertionError("waited in vain");
@@ -92,25 +92,25 @@
         final Socket socket = new Socket();
 
         Client(InetSocketAddress node) throws IOException {
-            socket.setSoTimeout(PATIENCE_MS);
+            socket.setSoTimeout(TIMEOUT_MS);
             socket.connect(node);
         }
 
-        Client say(String text) throws IOException {
+        Client send(String text) throws IOException {
             socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
             return this;
         }
 
         /** Asks until the node says that it is ready: each question goes once round its loop. */
         Client awaitReady() throws IOException {
-            while (!say("GET /ready HTTP/1.1\r\n\r\n").hear().startsWith("200")) {
+            while (!send("GET /ready HTTP/1.1\r\n\r\n").readAnswer().startsWith("200")) {
                 Thread.onSpinWait();
             }
             return this;
         }
 
         /** The next answer, as status and body; null where the node closes instead. */
-        String hear() throws IOException {
+        String readAnswer() throws IOException {
             String head = head(socket.getInputStream());
             return head == null ? null : head.split(" ")[1] + " " + body(head, socket.getInputStream());
         }
@@ -198,9 +198,9 @@
     /** A server that answers each request with the next of its lines, and keeps what it was sent. */
     static class FakeServer extends Peer {
         /** In place of an answer: the connection is reset. */
-        static final String BREAK = "";
+        static final String RESET = "";
         final String name;
-        final BlockingQueue<String> heard = new LinkedBlockingQueue<>();
+        final BlockingQueue<String> requests = new LinkedBlockingQueue<>();
         final BlockingQueue<String> answers = new LinkedBlockingQueue<>();
         final BlockingQueue<Socket> connections = new LinkedBlockingQueue<>();
 
@@ -214,9 +214,9 @@
             connections.add(socket);
             for (String head = head(socket.getInputStream()); head != null; head = head(socket.getInputStream())) {
                 String body = body(head, socket.getInputStream());
-                heard.add(head + body);
+                requests.add(head + body);
                 String answer = answers.take();
-                if (answer.equals(BREAK)) {
+                if (answer.equals(RESET)) {
                     socket.setSoLinger(true, 0);
                     return;
                 }
@@ -224,8 +224,8 @@
             }
         }
 
-        String heard() throws InterruptedException {
-            return heard.poll(PATIENCE_MS, TimeUnit.MILLISECONDS);
+        String nextRequest() throws InterruptedException {
+            return requests.poll(TIMEOUT_MS, TimeUnit.MILLISECONDS);
         }
     }
 
--- a/src/test/java/onyxpaddle/serve/FiguresTest.java
+++ b/src/test/java/onyxpaddle/serve/MetricsTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The figures are what callers and servers counted, over crashes, callers that leave, both protocols and reloads. */
-class FiguresTest {
+class MetricsTest {
     private static final String BOOK = "POST /visits HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n";
 
     private static NodeConfig config(String http, String rpc, int attempts) {
@@ -38,14 +38,14 @@
 
     private static long figure(Sidecar node, String series) throws Exception {
         try (Client operator = new Client(node.adminAddress())) {
-            String figures = operator.say("GET /metrics HTTP/1.1\r\n\r\n").hear();
+            String figures = operator.send("GET /metrics HTTP/1.1\r\n\r\n").readAnswer();
             return Long.parseLong(figures.lines().filter(line -> line.startsWith(series + " ")).findFirst()
                 .orElseThrow(() -> new AssertionError(series + " is not in\n" + figures)).substring(series.length() + 1));
         }
     }
 
     private static void await(Sidecar node, String series, long value) throws Exception {
-        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(Loopback.PATIENCE_MS);
+        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(Loopback.TIMEOUT_MS);
         while (figure(node, series) != value) {
             assertTrue(System.nanoTime() < end, () -> series + " is not " + value);
         }
@@ -58,8 +58,8 @@
     private static void book(Sidecar node, FakeServer box, String answer, String status) throws Exception {
         try (Client client = new Client(node.address("in"))) {
             box.answers.add(answer);
-            assertTrue(client.say(BOOK).hear().startsWith(status));
-            box.heard();
+            assertTrue(client.send(BOOK).readAnswer().startsWith(status));
+            box.nextRequest();
         }
     }
 
@@ -72,7 +72,7 @@
                 book(node, box, Loopback.ok("fine"), "200");
             }
             for (int i = 0; i < 3; i++) {
-                book(node, box, FakeServer.BREAK, "502");
+                book(node, box, FakeServer.RESET, "502");
             }
             try (RpcCaller caller = new RpcCaller(node.address("calls"))) {
                 for (int i = 0; i < 5; i++) {
@@ -86,8 +86,8 @@
             // Callers that leave: what is in flight goes with them.
             for (int i = 0; i < 4; i++) {
                 try (Client leaves = new Client(node.address("in"))) {
-                    leaves.say(BOOK);
-                    box.heard();
+                    leaves.send(BOOK);
+                    box.nextRequest();
                 }
             }
             await(node, "svc_inflight", 0);
@@ -98,13 +98,13 @@
             Loopback.await(box.answers::isEmpty);
             // A pool that changes starts anew in all but its counts, and what it still has out is in flight.
             try (Client busy = new Client(node.address("in"))) {
-                busy.say(BOOK);
-                box.heard();
+                busy.send(BOOK);
+                box.nextRequest();
                 assertEquals(1, figure(node, "svc_inflight"));
-                node.change(config(box.address(), rpc, 2)).get(Loopback.PATIENCE_MS, TimeUnit.MILLISECONDS);
+                node.change(config(box.address(), rpc, 2)).get(Loopback.TIMEOUT_MS, TimeUnit.MILLISECONDS);
                 assertEquals(1, figure(node, "svc_inflight"));
                 box.answers.add(Loopback.ok("taken before"));
-                assertEquals("200 taken before", busy.hear());
+                assertEquals("200 taken before", busy.readAnswer());
             }
             book(node, box, Loopback.ok("after"), "200");
             await(node, "svc_inflight", 0);
--- a/src/test/java/onyxpaddle/serve/OmittedServerTest.java
+++ b/src/test/java/onyxpaddle/serve/OmittedServerTest.java
@@ -5,9 +5,9 @@
 import java.net.Socket;
 import onyxpaddle.serve.Loopback.Client;
 import onyxpaddle.serve.Loopback.FakeServer;
-import onyxpaddle.serve.ScriptedDiscovery.Ends;
+import onyxpaddle.serve.ScriptedDiscovery.CloseConnection;
 import onyxpaddle.serve.ScriptedDiscovery.Step;
-import onyxpaddle.serve.ScriptedDiscovery.Tells;
+import onyxpaddle.serve.ScriptedDiscovery.SendList;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
@@ -29,8 +29,8 @@
         }
 
         private Step[] steps(FakeServer stays) {
-            Step list = new Tells(this == INDENTED ? indented(Loopback.list(version, stays)) : Loopback.list(version, stays));
-            return this == AFTER_A_WATCH_THAT_ENDS ? new Step[] {new Ends(), list} : new Step[] {list};
+            Step list = new SendList(this == INDENTED ? indented(Loopback.list(version, stays)) : Loopback.list(version, stays));
+            return this == AFTER_A_WATCH_THAT_ENDS ? new Step[] {new CloseConnection(), list} : new Step[] {list};
         }
 
         private static String indented(String json) {
@@ -42,20 +42,20 @@
     @EnumSource(Form.class)
     void serverThatAWholeListLeavesOutGetsNothingMore(Form form) throws Exception {
         try (FakeServer leaves = new FakeServer("s1"); FakeServer stays = new FakeServer("s2");
-                ScriptedDiscovery discovery = new ScriptedDiscovery(new Tells(Loopback.list(1, leaves, stays)))) {
-            Node node = discovery.node(leaves, stays);
+                ScriptedDiscovery discovery = new ScriptedDiscovery(new SendList(Loopback.list(1, leaves, stays)))) {
+            Node node = discovery.startNode(leaves, stays);
             try (Client client = new Client(node.address())) {
-                Reads.answeredBy(leaves, stays);
-                Reads.reachAll(client, "before", leaves, stays);
+                ReadRequests.enqueueAnswers(leaves, stays);
+                ReadRequests.sendUntilAllReached(client, "before", leaves, stays);
                 discovery.calls.clear();
-                discovery.then(form.steps(stays));
+                discovery.append(form.steps(stays));
                 if (form == Form.AFTER_A_WATCH_THAT_ENDS) {
                     discovery.awaitCallAfter(1);
                 }
                 discovery.awaitCallAfter(form.version);
-                int before = leaves.heard.size();
-                Reads.allServedBy(stays, client, "after");
-                assertEquals(before, leaves.heard.size());
+                int before = leaves.requests.size();
+                ReadRequests.assertAllServedBy(stays, client, "after");
+                assertEquals(before, leaves.requests.size());
                 // Its places at the server are free for others: kept connections go with it.
                 Loopback.await(() -> leaves.connections.stream().allMatch(Socket::isClosed));
             } finally {
@@ -67,21 +67,21 @@
     /** A dial may take longer than the grace after which nothing new goes to a server that has left. */
     @Test
     void nothingIsWrittenToAServerThatWasLeftOutDuringTheDial() throws Exception {
-        try (FakeServer named = new FakeServer("s1"); FakeServer other = new FakeServer("s2"); FullServer full = new FullServer();
+        try (FakeServer named = new FakeServer("s1"); FakeServer other = new FakeServer("s2"); FullBacklogServer full = new FullBacklogServer();
                 ScriptedDiscovery discovery = new ScriptedDiscovery(
-                    new Tells(Loopback.list(1, named).replace(named.address(), full.address())))) {
-            Node node = discovery.node(named);
+                    new SendList(Loopback.list(1, named).replace(named.address(), full.address())))) {
+            Node node = discovery.startNode(named);
             try (Client client = new Client(node.address())) {
-                full.filled();
-                client.say(Loopback.request("r1", "book", "Content-Length: 0"));
+                full.fillBacklog();
+                client.send(Loopback.request("r1", "book", "Content-Length: 0"));
                 Loopback.await(() -> node.loop().submit(() -> node.pools().get("").unanswered()).syncUninterruptibly().getNow() == 1);
                 other.answers.add(Loopback.ok("other"));
-                discovery.then(new Tells(Loopback.list(2, other)));
+                discovery.append(new SendList(Loopback.list(2, other)));
                 discovery.awaitCallAfter(2);
-                try (Socket late = full.late()) {
+                try (Socket late = full.acceptDelayed()) {
                     assertEquals(-1, late.getInputStream().read());
                 }
-                assertEquals("200 other", client.hear());
+                assertEquals("200 other", client.readAnswer());
             } finally {
                 node.stop();
             }
--- a/src/test/java/onyxpaddle/serve/InServiceTest.java
+++ b/src/test/java/onyxpaddle/serve/OperationsTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** The operators' door, drain and replacement, on sockets. */
-class InServiceTest {
+class OperationsTest {
     private static final String READY = "GET /ready HTTP/1.1\r\n\r\n";
 
     private static Node node(FakeDiscovery discovery, String listen, Path folder, FakeServer... servers) throws Exception {
@@ -27,7 +27,7 @@
 
     private static String call(Node node, String call) throws Exception {
         try (Client operator = new Client(node.adminAddress())) {
-            return operator.say(call + " HTTP/1.1\r\n\r\n").hear();
+            return operator.send(call + " HTTP/1.1\r\n\r\n").readAnswer();
         }
     }
 
@@ -47,7 +47,7 @@
             assertTrue(call(node, "nonsense").startsWith("4"));
             assertTrue(call(node, "GET /" + "x".repeat(5000)).startsWith("4"));
             try (Client client = new Client(node.address())) {
-                assertTrue(client.say("POST /drain HTTP/1.1\r\nX-Trace-Id: a\r\nContent-Length: 0\r\n\r\n").hear().startsWith("4"));
+                assertTrue(client.send("POST /drain HTTP/1.1\r\nX-Trace-Id: a\r\nContent-Length: 0\r\n\r\n").readAnswer().startsWith("4"));
             }
             untilReady(node);
             node.stop();
@@ -60,10 +60,10 @@
         try (FakeServer server = new FakeServer("s1"); FakeDiscovery discovery = new FakeDiscovery(Loopback.list(1, server))) {
             Node node = node(discovery, "127.0.0.1:0", folder, server);
             for (int i = 0; i < 100; i++) {
-                silent.add(new Client(node.adminAddress()).say(i % 2 == 0 ? "GET /rea" : ""));
+                silent.add(new Client(node.adminAddress()).send(i % 2 == 0 ? "GET /rea" : ""));
             }
             untilReady(node);
-            assertNull(silent.get(0).hear(), "the one that was silent for longest has gone");
+            assertNull(silent.get(0).readAnswer(), "the one that was silent for longest has gone");
             node.stop();
         } finally {
             for (Client c : silent) {
@@ -80,17 +80,17 @@
             try (Client client = new Client(node.address()); Client waits = new Client(node.address())) {
                 for (int i = 0; i < 5; i++) {
                     server.answers.add(Loopback.ok("fine"));
-                    client.say(Loopback.request("r" + i, "book", "Content-Length: 0")).hear();
+                    client.send(Loopback.request("r" + i, "book", "Content-Length: 0")).readAnswer();
                 }
                 server.answers.add("HTTP/1.1 500 Broken\r\nContent-Length: 0\r\n\r\n");
-                assertTrue(client.say(Loopback.request("b1", "book", "Content-Length: 0")).hear().startsWith("502"));
-                assertTrue(client.say(Loopback.request("b2", "book", "X-Expires-In: nonsense", "Content-Length: 0")).hear()
+                assertTrue(client.send(Loopback.request("b1", "book", "Content-Length: 0")).readAnswer().startsWith("502"));
+                assertTrue(client.send(Loopback.request("b2", "book", "X-Expires-In: nonsense", "Content-Length: 0")).readAnswer()
                     .startsWith("400"));
                 for (int i = 0; i < 6; i++) {
-                    server.heard();
+                    server.nextRequest();
                 }
-                waits.say(Loopback.request("b3", "book", "Content-Length: 0"));
-                server.heard();
+                waits.send(Loopback.request("b3", "book", "Content-Length: 0"));
+                server.nextRequest();
                 String figures = call(node, "GET /metrics");
                 assertFigure(figures, "svc_calls_total{tier=\"book\",code=\"success\"} 5");
                 assertFigure(figures, "svc_calls_total{tier=\"read\",code=\"busy\"} 0");
@@ -115,23 +115,23 @@
             try (Client busy = new Client(node.address()); Client idle = new Client(node.address());
                     Client half = new Client(node.address())) {
                 server.answers.add(Loopback.ok("before"));
-                assertEquals("200 before", idle.say(Loopback.request("r0", "read")).hear());
-                server.heard();
-                busy.say(Loopback.request("r1", "book", "Content-Length: 0"));
-                server.heard();
-                half.say("GET /read HTTP/1.1\r\nX-Tra");
+                assertEquals("200 before", idle.send(Loopback.request("r0", "read")).readAnswer());
+                server.nextRequest();
+                busy.send(Loopback.request("r1", "book", "Content-Length: 0"));
+                server.nextRequest();
+                half.send("GET /read HTTP/1.1\r\nX-Tra");
                 assertTrue(call(node, "POST /drain").startsWith("200"));
                 assertTrue(call(node, "GET /ready").startsWith("503"));
-                assertNull(idle.hear(), "an idle connection is closed");
-                assertTrue(half.hear().startsWith("503"), "what is not whole is turned away");
+                assertNull(idle.readAnswer(), "an idle connection is closed");
+                assertTrue(half.readAnswer().startsWith("503"), "what is not whole is turned away");
                 server.answers.add(Loopback.ok("taken"));
-                assertEquals("200 taken", busy.hear(), "what was taken is answered");
-                assertNull(busy.hear(), "and its connection closed");
+                assertEquals("200 taken", busy.readAnswer(), "what was taken is answered");
+                assertNull(busy.readAnswer(), "and its connection closed");
                 assertTrue(call(node, "POST /undrain").startsWith("200"));
                 untilReady(node);
                 try (Client again = new Client(node.address())) {
                     server.answers.add(Loopback.ok("after"));
-                    assertEquals("200 after", again.say(Loopback.request("r2", "read")).hear());
+                    assertEquals("200 after", again.send(Loopback.request("r2", "read")).readAnswer());
                 }
             }
             node.stop();
@@ -146,10 +146,10 @@
             untilReady(first);
             try (Client kept = new Client(first.address()); Client busy = new Client(first.address())) {
                 server.answers.add(Loopback.ok("one"));
-                assertEquals("200 one", kept.say(Loopback.request("r1", "read")).hear());
-                server.heard();
-                busy.say(Loopback.request("r2", "book", "Content-Length: 0"));
-                server.heard();
+                assertEquals("200 one", kept.send(Loopback.request("r1", "read")).readAnswer());
+                server.nextRequest();
+                busy.send(Loopback.request("r2", "book", "Content-Length: 0"));
+                server.nextRequest();
                 Node next = node(second, "127.0.0.1:" + first.address().getPort(), folder, server);
                 untilReady(next);
                 Thread end = new Thread(first::drain);
@@ -159,16 +159,16 @@
                 }
                 server.answers.add(Loopback.ok("two"));
                 server.answers.add(Loopback.ok("three"));
-                assertEquals("200 two", busy.hear(), "what the first took it answers");
-                assertEquals("200 three", kept.say(Loopback.request("r3", "book", "Content-Length: 0")).hear());
-                assertNull(kept.hear(), "and sends its clients to the next");
-                end.join(Loopback.PATIENCE_MS);
+                assertEquals("200 two", busy.readAnswer(), "what the first took it answers");
+                assertEquals("200 three", kept.send(Loopback.request("r3", "book", "Content-Length: 0")).readAnswer());
+                assertNull(kept.readAnswer(), "and sends its clients to the next");
+                end.join(Loopback.TIMEOUT_MS);
                 assertFalse(end.isAlive());
                 first.stop();
                 for (int i = 0; i < 20; i++) {
                     try (Client fresh = new Client(next.address())) {
                         server.answers.add(Loopback.ok("four"));
-                        assertEquals("200 four", fresh.say(Loopback.request("n" + i, "book", "Content-Length: 0")).hear());
+                        assertEquals("200 four", fresh.send(Loopback.request("n" + i, "book", "Content-Length: 0")).readAnswer());
                     }
                 }
                 Node third = node(new FakeDiscovery(Loopback.list(1, server)), "127.0.0.1:" + next.address().getPort(), folder,
@@ -196,7 +196,7 @@
             assertFigure(call(node, "GET /metrics"), "svc_hosts_down 1");
             discovery.lists.add(Loopback.list(2, one, two));
             for (int calls = 0; calls < 3; calls++) {
-                assertTrue(discovery.calls.poll(Loopback.PATIENCE_MS, java.util.concurrent.TimeUnit.MILLISECONDS) != null);
+                assertTrue(discovery.calls.poll(Loopback.TIMEOUT_MS, java.util.concurrent.TimeUnit.MILLISECONDS) != null);
             }
             askTwenty(node, two);
             Node next = node(second, "127.0.0.1:" + node.address().getPort(), folder, one, two);
@@ -204,11 +204,11 @@
             node.drain();
             node.stop();
             askTwenty(next, two);
-            assertEquals(0, one.heard.size());
+            assertEquals(0, one.requests.size());
             assertTrue(call(next, "POST /servers/enable?id=s1").startsWith("200"));
             assertTrue(call(next, "POST /servers/disable?id=s2").startsWith("200"));
             askTwenty(next, one);
-            assertEquals(40, two.heard.size());
+            assertEquals(40, two.requests.size());
             next.stop();
         }
     }
@@ -218,7 +218,7 @@
             for (int i = 0; i < 20; i++) {
                 server.answers.add(Loopback.ok("fine"));
                 // A booking, as a slow look-up might be sent twice and take two answers.
-                assertEquals("200 fine", client.say(Loopback.request("x" + i, "book", "Content-Length: 0")).hear());
+                assertEquals("200 fine", client.send(Loopback.request("x" + i, "book", "Content-Length: 0")).readAnswer());
             }
         }
     }
--- a/src/test/java/onyxpaddle/serve/RequestInPiecesTest.java
+++ b/src/test/java/onyxpaddle/serve/PartialRequestTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Requests that come in pieces, cut at every byte, of which a part has come as the node is told to end: each has an answer. */
-class RequestInPiecesTest {
+class PartialRequestTest {
     /** Of the class that waits longest. The end goes by it. */
     private static final double DEADLINE_S = 0.6;
     private static final String BODY = "0123456789";
@@ -56,18 +56,18 @@
             for (int cut = 1; cut < booking("r000").length(); cut++) {
                 Client client = new Client(node.address());
                 clients.add(client);
-                client.say(booking("r%03d".formatted(cut)).substring(0, cut));
+                client.send(booking("r%03d".formatted(cut)).substring(0, cut));
             }
             settle(node);
             CompletableFuture<Void> ended = CompletableFuture.runAsync(node::drain);
             for (int i = 0; i < clients.size(); i++) {
                 int cut = i + 1;
-                String answer = clients.get(i).hear();
+                String answer = clients.get(i).readAnswer();
                 assertTrue(answer != null && answer.startsWith("503"), () -> "answered " + answer + " to what was cut at " + cut);
                 clients.get(i).close();
             }
             ended.get();
-            assertEquals(0, server.heard.size());
+            assertEquals(0, server.requests.size());
         });
     }
 }
--- a/src/test/java/onyxpaddle/serve/PlainHttpTest.java
+++ b/src/test/java/onyxpaddle/serve/PlainHttpTest.java
@@ -16,12 +16,12 @@
 /** Ordinary HTTP through a sidecar's node: what an application says is the answer, and what it needs passes. */
 class PlainHttpTest {
     private static String config(FakeServer server) {
-        return SidecarRig.simple("attempts: 2").replace("servers: []", "servers: [\"" + server.address() + "\"]");
+        return SidecarRig.simpleConfig("attempts: 2").replace("servers: []", "servers: [\"" + server.address() + "\"]");
     }
 
     @Test
     void clientThatKnowsNothingOfTheNodeIsServed() throws Exception {
-        try (StandInServer app = new StandInServer("app", 0); SidecarRig rig = new SidecarRig(SidecarRig.simple("", app))) {
+        try (StandInServer app = new StandInServer("app", 0); SidecarRig rig = new SidecarRig(SidecarRig.simpleConfig("", app))) {
             HttpResponse<String> answer = rig.get("/slots?day=3");
             assertEquals(200, answer.statusCode());
             assertEquals("app GET /slots?day=3 0 bytes\n", answer.body());
@@ -34,7 +34,7 @@
     @ParameterizedTest
     @ValueSource(ints = {200, 201, 204, 301, 304, 400, 404, 409, 422, 429, 500, 501, 503})
     void everyStatusOfTheApplicationIsTheAnswer(int status) throws Exception {
-        try (StandInServer app = new StandInServer("app", 0); SidecarRig rig = new SidecarRig(SidecarRig.simple("", app))) {
+        try (StandInServer app = new StandInServer("app", 0); SidecarRig rig = new SidecarRig(SidecarRig.simpleConfig("", app))) {
             for (int i = 0; i < 2; i++) {
                 HttpResponse<String> answer = rig.post("/visits", "x", "X-Answer-Status", Integer.toString(status),
                     "X-Effect", "visit-" + i);
@@ -47,7 +47,7 @@
 
     @Test
     void aSafeRequestThatFailsIsTriedAgainAndAllOthersAreNot() throws Exception {
-        try (StandInServer app = new StandInServer("app", 0); SidecarRig rig = new SidecarRig(SidecarRig.simple("", app))) {
+        try (StandInServer app = new StandInServer("app", 0); SidecarRig rig = new SidecarRig(SidecarRig.simpleConfig("", app))) {
             assertEquals(500, rig.get("/slots", "X-Answer-Status", "500", "X-Effect", "look").statusCode());
             assertEquals(3, app.runs("look"));
             assertEquals(404, rig.get("/slots", "X-Answer-Status", "404", "X-Effect", "other").statusCode());
@@ -57,15 +57,15 @@
 
     @Test
     void headHasNoBodyAndKeepsItsLength() throws Exception {
-        try (StandInServer app = new StandInServer("app", 0); SidecarRig rig = new SidecarRig(SidecarRig.simple("", app));
+        try (StandInServer app = new StandInServer("app", 0); SidecarRig rig = new SidecarRig(SidecarRig.simpleConfig("", app));
                 Client raw = new Client(rig.node.address("in"))) {
-            raw.say("HEAD /slots HTTP/1.1\r\nHost: a\r\nX-Answer-Bytes: 700\r\n\r\n");
+            raw.send("HEAD /slots HTTP/1.1\r\nHost: a\r\nX-Answer-Bytes: 700\r\n\r\n");
             String head = Loopback.head(raw.socket.getInputStream());
             assertTrue(head.startsWith("HTTP/1.1 200") && head.toLowerCase().contains("content-length: 700"), head);
             // The next answer follows at once: no byte of a body stands between.
-            raw.say("HEAD /slots HTTP/1.1\r\nHost: a\r\n\r\n");
+            raw.send("HEAD /slots HTTP/1.1\r\nHost: a\r\n\r\n");
             assertTrue(Loopback.head(raw.socket.getInputStream()).startsWith("HTTP/1.1 200"));
-            raw.say("HEAD /nowhere HTTP/1.1\r\nHost: a\r\n\r\n");
+            raw.send("HEAD /nowhere HTTP/1.1\r\nHost: a\r\n\r\n");
             assertTrue(Loopback.head(raw.socket.getInputStream()).startsWith("HTTP/1.1 404"));
             assertEquals(-1, raw.socket.getInputStream().read());
         }
@@ -76,10 +76,10 @@
         try (FakeServer app = new FakeServer("s1", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nConnection: X-Hop\r\n"
                     + "X-Hop: 1\r\nKeep-Alive: timeout=9\r\nSet-Cookie: a=1\r\nSet-Cookie: b=2\r\n\r\nhi");
                 SidecarRig rig = new SidecarRig(config(app)); Client raw = new Client(rig.node.address("in"))) {
-            raw.say("GET /slots HTTP/1.1\r\nHost: clinic.example\r\nConnection: X-Mine\r\nX-Mine: 1\r\nTE: trailers\r\n"
+            raw.send("GET /slots HTTP/1.1\r\nHost: clinic.example\r\nConnection: X-Mine\r\nX-Mine: 1\r\nTE: trailers\r\n"
                 + "Upgrade: h2c\r\nCookie: k=1\r\nX-Forwarded-For: 10.9.9.9\r\n\r\n");
             String back = Loopback.head(raw.socket.getInputStream());
-            String there = app.heard();
+            String there = app.nextRequest();
             assertTrue(there.contains("Host: clinic.example\r\n") && there.contains("Cookie: k=1\r\n"), there);
             assertTrue(there.toLowerCase().contains("via: 1.1 rig\r\n"), there);
             assertTrue(there.contains("X-Forwarded-For: 10.9.9.9, 127.0.0.1\r\n"), there);
@@ -91,12 +91,12 @@
 
     @Test
     void largeBodiesPassBothWaysAndLargerOnesAreTurnedAway() throws Exception {
-        try (StandInServer app = new StandInServer("app", 0); SidecarRig rig = new SidecarRig(SidecarRig.simple("", app))) {
+        try (StandInServer app = new StandInServer("app", 0); SidecarRig rig = new SidecarRig(SidecarRig.simpleConfig("", app))) {
             assertEquals("app POST /visits 800000 bytes\n", rig.post("/visits", "x".repeat(800_000)).body());
             assertEquals(900_000, rig.get("/slots", "X-Answer-Bytes", "900000").body().length());
             try (Client raw = new Client(rig.node.address("in"))) {
-                raw.say("POST /visits HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\nContent-Length: 1100000\r\n\r\n");
-                assertTrue(raw.hear().startsWith("413 lupinmount: "));
+                raw.send("POST /visits HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\nContent-Length: 1100000\r\n\r\n");
+                assertTrue(raw.readAnswer().startsWith("413 lupinmount: "));
             }
             assertEquals(502, rig.post("/visits", "x", "X-Answer-Bytes", "1100000").statusCode());
         }
@@ -146,31 +146,31 @@
         "TRACE /slots HTTP/1.1\r\nHost: a\r\n\r\n501",
     })
     void whatHasNoRouteOrMakesNoSenseIsAnsweredAtOnceAndReachesNobody(String text) throws Exception {
-        try (StandInServer app = new StandInServer("app", 0); SidecarRig rig = new SidecarRig(SidecarRig.simple("", app));
+        try (StandInServer app = new StandInServer("app", 0); SidecarRig rig = new SidecarRig(SidecarRig.simpleConfig("", app));
                 Client raw = new Client(rig.node.address("in"))) {
-            String answer = raw.say(text.substring(0, text.length() - 3)).hear();
+            String answer = raw.send(text.substring(0, text.length() - 3)).readAnswer();
             assertEquals(text.substring(text.length() - 3), answer.substring(0, 3));
             assertTrue(answer.contains("lupinmount: "), answer);
-            assertNull(raw.hear());
+            assertNull(raw.readAnswer());
             assertEquals(0, app.served());
         }
     }
 
     @Test
     void clientThatTakesTheNodeForItsProxyIsRoutedByTheHostItNames() throws Exception {
-        try (StandInServer app = new StandInServer("app", 0); SidecarRig rig = new SidecarRig(SidecarRig.simple("", app));
+        try (StandInServer app = new StandInServer("app", 0); SidecarRig rig = new SidecarRig(SidecarRig.simpleConfig("", app));
                 Client raw = new Client(rig.node.address("in"))) {
-            raw.say("GET http://records.svc:80/slots/4 HTTP/1.1\r\nHost: a\r\n\r\n");
-            assertEquals("200 app GET /slots/4 0 bytes\n", raw.hear());
+            raw.send("GET http://records.svc:80/slots/4 HTTP/1.1\r\nHost: a\r\n\r\n");
+            assertEquals("200 app GET /slots/4 0 bytes\n", raw.readAnswer());
         }
     }
 
     @Test
     void applicationThatIsFullIsNotQueuedFor() throws Exception {
         try (StandInServer app = new StandInServer("app", 0).silent(true);
-                SidecarRig rig = new SidecarRig(SidecarRig.simple("in-flight: 1", app));
+                SidecarRig rig = new SidecarRig(SidecarRig.simpleConfig("in-flight: 1", app));
                 Client held = new Client(rig.node.address("in"))) {
-            held.say("GET /slots HTTP/1.1\r\nHost: a\r\n\r\n");
+            held.send("GET /slots HTTP/1.1\r\nHost: a\r\n\r\n");
             while (app.served() == 0) {
                 Thread.onSpinWait();
             }
@@ -184,7 +184,7 @@
     @Test
     void applicationThatIsKilledAndStartedAgainIsServedAgain() throws Exception {
         StandInServer first = new StandInServer("first", 0);
-        try (SidecarRig rig = new SidecarRig(SidecarRig.simple("", first))) {
+        try (SidecarRig rig = new SidecarRig(SidecarRig.simpleConfig("", first))) {
             assertEquals(200, rig.post("/visits", "x").statusCode());
             int port = first.address().getPort();
             first.close();
--- a/src/test/java/onyxpaddle/serve/RefusalRecoveryTest.java
+++ b/src/test/java/onyxpaddle/serve/RefusalRecoveryTest.java
@@ -44,15 +44,15 @@
                 }
                 for (int round = 0; round < ROUNDS; round++) {
                     for (int i = 0; i < AT_ONCE; i++) {
-                        clients.get(i).say(booking("late" + round + "-" + i));
+                        clients.get(i).send(booking("late" + round + "-" + i));
                     }
                     for (Client client : clients) {
-                        String answer = client.hear();
+                        String answer = client.readAnswer();
                         assertTrue(answer.equals("200 late") || answer.startsWith("503"), answer);
                     }
                 }
                 assertEquals(1, admitLimit(node));
-                assertEquals("200 late", clients.get(0).say(booking("next")).hear());
+                assertEquals("200 late", clients.get(0).send(booking("next")).readAnswer());
             } finally {
                 for (Client client : clients) {
                     client.close();
@@ -83,18 +83,18 @@
         try (FakeServer one = new FakeServer("s1"); FakeServer other = new FakeServer("s2"); Loopback on = new Loopback(one, other);
                 Client client = on.client().awaitReady()) {
             for (int i = 0; i < FAILURES; i++) {
-                one.answers.add(FakeServer.BREAK);
-                other.answers.add(FakeServer.BREAK);
+                one.answers.add(FakeServer.RESET);
+                other.answers.add(FakeServer.RESET);
             }
             for (int i = 0; i < FAILURES; i++) {
-                assertEquals("502 ", client.say(booking("fails" + i)).hear());
-                assertEquals(i + 1, one.heard.size() + other.heard.size(), "each was sent on once");
+                assertEquals("502 ", client.send(booking("fails" + i)).readAnswer());
+                assertEquals(i + 1, one.requests.size() + other.requests.size(), "each was sent on once");
             }
             one.answers.clear();
             other.answers.clear();
             one.answers.add(Loopback.ok("back"));
             other.answers.add(Loopback.ok("back"));
-            assertEquals("200 back", client.say(booking("next")).hear());
+            assertEquals("200 back", client.send(booking("next")).readAnswer());
         }
     }
 }
--- a/src/test/java/onyxpaddle/serve/ReloadDrainTest.java
+++ b/src/test/java/onyxpaddle/serve/ReloadDrainTest.java
@@ -9,9 +9,9 @@
 import java.util.concurrent.TimeUnit;
 import onyxpaddle.serve.Loopback.Client;
 import onyxpaddle.serve.Loopback.FakeServer;
-import onyxpaddle.serve.ScriptedDiscovery.FallsSilent;
+import onyxpaddle.serve.ScriptedDiscovery.WithholdAnswer;
 import onyxpaddle.serve.ScriptedDiscovery.Step;
-import onyxpaddle.serve.ScriptedDiscovery.Tells;
+import onyxpaddle.serve.ScriptedDiscovery.SendList;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
@@ -28,12 +28,12 @@
         AFTER_A_SILENT_CALL;
 
         private Step[] steps(FakeServer drains, FakeServer stays) {
-            Step both = new Tells(Loopback.list(1, drains, stays));
+            Step both = new SendList(Loopback.list(1, drains, stays));
             Step change = ScriptedDiscovery.change(2, drains, "draining");
             return switch (this) {
                 case CHANGE_RIGHT_AFTER_THE_LIST -> new Step[] {both, change};
-                case LEFT_OUT_OF_THE_LIST -> new Step[] {new Tells(Loopback.list(2, stays))};
-                case AFTER_A_SILENT_CALL -> new Step[] {new FallsSilent(), both, change};
+                case LEFT_OUT_OF_THE_LIST -> new Step[] {new SendList(Loopback.list(2, stays))};
+                case AFTER_A_SILENT_CALL -> new Step[] {new WithholdAnswer(), both, change};
             };
         }
     }
@@ -42,12 +42,12 @@
     @EnumSource(Told.class)
     void nothingGoesToAServerThatDrainsRightAfterTheMove(Told told, @TempDir Path folder) throws Exception {
         try (FakeServer drains = new FakeServer("s1"); FakeServer stays = new FakeServer("s2");
-                ScriptedDiscovery old = new ScriptedDiscovery(new Tells(Loopback.list(40, drains, stays)));
+                ScriptedDiscovery old = new ScriptedDiscovery(new SendList(Loopback.list(40, drains, stays)));
                 ScriptedDiscovery next = new ScriptedDiscovery(told.steps(drains, stays))) {
-            Node node = old.node(drains, stays);
+            Node node = old.startNode(drains, stays);
             try (Client client = new Client(node.address()); Loopback.FakeDiscovery other = new Loopback.FakeDiscovery("")) {
-                Reads.answeredBy(drains, stays);
-                Reads.reachAll(client, "before", drains, stays);
+                ReadRequests.enqueueAnswers(drains, stays);
+                ReadRequests.sendUntilAllReached(client, "before", drains, stays);
                 old.awaitCallAfter(40);
                 String config = Loopback.config(other, drains, stays).replace(other.address(), next.address())
                     .replace("\"seq\":1", "\"seq\":40");
@@ -57,10 +57,10 @@
                 long took = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - hangup);
                 assertTrue(took < TOLD_MS, took + " ms until the drain is in force");
                 // What the old one still says changes nothing.
-                old.then(new Tells(Loopback.list(41, drains, stays)));
-                int before = drains.heard.size();
-                Reads.allServedBy(stays, client, "after");
-                assertEquals(before, drains.heard.size());
+                old.append(new SendList(Loopback.list(41, drains, stays)));
+                int before = drains.requests.size();
+                ReadRequests.assertAllServedBy(stays, client, "after");
+                assertEquals(before, drains.requests.size());
             } finally {
                 node.stop();
             }
--- a/src/test/java/onyxpaddle/serve/RpcGoneCallerTest.java
+++ b/src/test/java/onyxpaddle/serve/RpcCallerDisconnectTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 
 /** A caller by MessagePack-RPC that has closed its connection has gone: nothing begins for it, however late the node's loop is. */
-class RpcGoneCallerTest {
+class RpcCallerDisconnectTest {
     private static final long BEHIND_MS = 250;
 
     @Test
@@ -17,7 +17,7 @@
             assertTrue(other.ask("book", RpcRig.text("b1")).ok());
             RpcCaller gone = rig.caller();
             assertTrue(gone.ask("book", RpcRig.text("b2")).ok());
-            HeldLoop held = new HeldLoop(rig.node.loop());
+            BlockedEventLoop held = new BlockedEventLoop(rig.node.loop());
             gone.call("book", RpcRig.text("b3"));
             gone.close();
             held.releaseAfter(BEHIND_MS);
--- a/src/test/java/onyxpaddle/serve/RpcFrontTest.java
+++ b/src/test/java/onyxpaddle/serve/RpcFrontTest.java
@@ -86,7 +86,7 @@
                 });
             }
             for (int i = 0; i < replies.size(); i++) {
-                assertEquals(text("b" + i), params(replies.get(i).get(RpcRig.PATIENCE_S, TimeUnit.SECONDS)).asArrayValue().get(0));
+                assertEquals(text("b" + i), params(replies.get(i).get(RpcRig.TIMEOUT_S, TimeUnit.SECONDS)).asArrayValue().get(0));
                 assertEquals(1, box.ledger.runs("b" + i));
             }
             List<Integer> sorted = new ArrayList<>(order);
@@ -135,12 +135,12 @@
     void aMsgidThatIsOpenAlreadyEndsTheConnectionAfterItsAnswer() throws Exception {
         try (Box box = new Box("one"); RpcRig rig = new RpcRig(config("", box.rpcOnly("one"))); RpcCaller caller = rig.caller()) {
             // Both are read in one turn of the loop, so that the first is open whatever its server does.
-            HeldLoop held = new HeldLoop(rig.node.loop());
+            BlockedEventLoop held = new BlockedEventLoop(rig.node.loop());
             CompletableFuture<Reply> first = caller.call(5, "book", text("first"));
             caller.send(RpcCaller.frame(5, "book", text("second")));
             held.release();
-            assertTrue(first.get(RpcRig.PATIENCE_S, TimeUnit.SECONDS).ok());
-            caller.ended().get(RpcRig.PATIENCE_S, TimeUnit.SECONDS);
+            assertTrue(first.get(RpcRig.TIMEOUT_S, TimeUnit.SECONDS).ok());
+            caller.ended().get(RpcRig.TIMEOUT_S, TimeUnit.SECONDS);
             assertEquals(1, box.ledger.runs("first"));
             assertEquals(0, box.ledger.runs("second"));
             assertEquals(0, caller.unexpected());
@@ -151,7 +151,7 @@
     void aMsgidMayBeUsedAgainOnceItIsAnswered() throws Exception {
         try (Box box = new Box("one"); RpcRig rig = new RpcRig(config("", box.rpcOnly("one"))); RpcCaller caller = rig.caller()) {
             for (int i = 0; i < 20; i++) {
-                Reply reply = caller.call(0xffffffffL, "book", text("again" + i)).get(RpcRig.PATIENCE_S, TimeUnit.SECONDS);
+                Reply reply = caller.call(0xffffffffL, "book", text("again" + i)).get(RpcRig.TIMEOUT_S, TimeUnit.SECONDS);
                 assertEquals(text("again" + i), params(reply).asArrayValue().get(0));
             }
         }
@@ -164,8 +164,8 @@
             CompletableFuture<Reply> taken = caller.call("book", text("taken"));
             caller.send(new byte[] {(byte) 0xc1, 0, 1, 2, 3});
             CompletableFuture<Reply> after = caller.call("book", text("after"));
-            assertTrue(taken.get(RpcRig.PATIENCE_S, TimeUnit.SECONDS).ok());
-            caller.ended().get(RpcRig.PATIENCE_S, TimeUnit.SECONDS);
+            assertTrue(taken.get(RpcRig.TIMEOUT_S, TimeUnit.SECONDS).ok());
+            caller.ended().get(RpcRig.TIMEOUT_S, TimeUnit.SECONDS);
             assertTrue(after.isCompletedExceptionally());
             assertEquals(0, box.ledger.runs("after"));
             assertTrue(other.ask("book", text("other")).ok(), "nothing else is lost by it");
@@ -182,7 +182,7 @@
                 (byte) 0xdb, -1, -1, -1, -1})) {
                 try (RpcCaller caller = rig.caller()) {
                     caller.send(bytes);
-                    caller.ended().get(RpcRig.PATIENCE_S, TimeUnit.SECONDS);
+                    caller.ended().get(RpcRig.TIMEOUT_S, TimeUnit.SECONDS);
                 }
             }
             assertEquals(0, box.ledger.served());
@@ -204,7 +204,7 @@
         try (Box box = new Box("one"); RpcRig rig = new RpcRig(config("body: 1 KiB", box.rpcOnly("one")));
                 RpcCaller caller = rig.caller()) {
             caller.send(new byte[] {(byte) 0x94, 0});
-            caller.ended().get(RpcRig.PATIENCE_S, TimeUnit.SECONDS);
+            caller.ended().get(RpcRig.TIMEOUT_S, TimeUnit.SECONDS);
         }
     }
 
@@ -229,7 +229,7 @@
             }
             assertTrue(served >= 48, "others are served on: " + served + " of 50");
             // It is cut off once it has left answers unread for 5 s: what it sends after meets a closed connection.
-            flood.join(TimeUnit.SECONDS.toMillis(RpcRig.PATIENCE_S));
+            flood.join(TimeUnit.SECONDS.toMillis(RpcRig.TIMEOUT_S));
             assertFalse(flood.isAlive(), "the caller is still held");
             assertTrue(box.ledger.served() < 1500, "served " + box.ledger.served());
             assertTrue(good.ask("look.y").ok());
--- a/src/test/java/onyxpaddle/serve/RpcRig.java
+++ b/src/test/java/onyxpaddle/serve/RpcRig.java
@@ -12,7 +12,7 @@
 
 /** A node whose callers speak MessagePack-RPC, and boxes that speak both protocols. */
 final class RpcRig implements AutoCloseable {
-    static final long PATIENCE_S = 20;
+    static final long TIMEOUT_S = 20;
 
     /** A server that both protocols reach, with one ledger. */
     static final class Box implements AutoCloseable {
@@ -27,7 +27,7 @@
         }
 
         /** As it stands in a list. */
-        String both(String id) {
+        String bothProtocols(String id) {
             return "{id: " + id + ", address: \"" + http.hostPort() + "\", rpc: \"" + rpc.hostPort() + "\"}";
         }
 
@@ -111,7 +111,7 @@
     }
 
     static void await(Check check) throws Exception {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_S);
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_S);
         while (!check.holds()) {
             assertTrue(System.nanoTime() < end, "waited in vain");
             Thread.sleep(2);
--- a/src/test/java/onyxpaddle/serve/RpcUpstreamTest.java
+++ b/src/test/java/onyxpaddle/serve/RpcUpstreamTest.java
@@ -25,7 +25,7 @@
 /** Servers by MessagePack-RPC that lose, mix up, cut and break: no call has another's answer, and none runs twice. */
 class RpcUpstreamTest {
     private static Reply get(CompletableFuture<Reply> reply) throws Exception {
-        return reply.get(RpcRig.PATIENCE_S, TimeUnit.SECONDS);
+        return reply.get(RpcRig.TIMEOUT_S, TimeUnit.SECONDS);
     }
 
     /** Whether the answer is that of the call with this first parameter. */
@@ -121,7 +121,7 @@
                 replies.add(caller.call("book", text("b" + i), ValueFactory.newBinary(new byte[200_000])));
             }
             String both = config("rpc: {connections: 1, calls: 100}", one.rpcOnly("one"), two.rpcOnly("two"));
-            assertNull(rig.node.change(SidecarRig.config(both)).get(RpcRig.PATIENCE_S, TimeUnit.SECONDS));
+            assertNull(rig.node.change(SidecarRig.config(both)).get(RpcRig.TIMEOUT_S, TimeUnit.SECONDS));
             // All has been handed to the node once a call that came behind it has its final word, whatever that is: where the other box
             // answers late, the 20 ms that a node waits for one attempt go by, and the call is refused.
             caller.ask("look.after");
@@ -231,7 +231,7 @@
             }
             await(() -> one.ledger.served() > 0);
             String draining = config("", one.rpcOnly("one").replace("}", ", state: draining}"), two.rpcOnly("two"));
-            assertNull(rig.node.change(SidecarRig.config(draining)).get(RpcRig.PATIENCE_S, TimeUnit.SECONDS));
+            assertNull(rig.node.change(SidecarRig.config(draining)).get(RpcRig.TIMEOUT_S, TimeUnit.SECONDS));
             for (int i = 0; i < 50; i++) {
                 assertTrue(caller.ask("book", text("new" + i)).ok());
                 assertEquals(0, one.ledger.runs("new" + i));
--- a/src/test/java/onyxpaddle/serve/ScriptedDiscovery.java
+++ b/src/test/java/onyxpaddle/serve/ScriptedDiscovery.java
@@ -22,39 +22,39 @@
     }
 
     /** Answers with this list. */
-    record Tells(String list) implements Step {
+    record SendList(String list) implements Step {
     }
 
     /** Says nothing, and leaves the connection open. */
-    record FallsSilent() implements Step {
+    record WithholdAnswer() implements Step {
     }
 
     /** Ends the connection with no answer. */
-    record Ends() implements Step {
+    record CloseConnection() implements Step {
     }
 
     final BlockingQueue<String> calls = new LinkedBlockingQueue<>();
     private final BlockingQueue<Step> script = new LinkedBlockingQueue<>();
-    private volatile Tells last;
+    private volatile SendList last;
     private final CountDownLatch closed = new CountDownLatch(1);
 
     ScriptedDiscovery(Step... steps) throws IOException {
-        then(steps);
+        append(steps);
     }
 
-    ScriptedDiscovery then(Step... steps) {
+    ScriptedDiscovery append(Step... steps) {
         script.addAll(List.of(steps));
         return this;
     }
 
     /** One server among changes. */
     static Step change(int version, FakeServer server, String health) {
-        return new Tells(Loopback.list(version, server).replace("\"whole\":true", "\"whole\":false")
+        return new SendList(Loopback.list(version, server).replace("\"whole\":true", "\"whole\":false")
             .replace("\"health\":\"ready\"", "\"health\":\"" + health + "\""));
     }
 
     /** A ready node that this is the discovery of, and that knows these servers. */
-    Node node(FakeServer... known) throws Exception {
+    Node startNode(FakeServer... known) throws Exception {
         try (FakeDiscovery other = new FakeDiscovery("")) {
             Node node = Node.start(PlatformConfig.parse(Loopback.config(other, known).getBytes(StandardCharsets.UTF_8),
                 Map.of("GW_DISCOVERY", address())));
@@ -67,7 +67,7 @@
 
     /** Waits for a call that asks for what came after this version: what it told of this version is in force then. */
     void awaitCallAfter(int version) throws InterruptedException {
-        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(Loopback.PATIENCE_MS);
+        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(Loopback.TIMEOUT_MS);
         String call;
         do {
             call = calls.poll(end - System.nanoTime(), TimeUnit.NANOSECONDS);
@@ -85,10 +85,10 @@
             Step again = watches ? null : last;
             Step next = again == null ? script.take() : script.poll();
             Step step = next == null ? again : next;
-            if (step instanceof Tells tells) {
-                last = tells;
-                socket.getOutputStream().write(Loopback.ok(tells.list()).getBytes(StandardCharsets.UTF_8));
-            } else if (step instanceof FallsSilent) {
+            if (step instanceof SendList answer) {
+                last = answer;
+                socket.getOutputStream().write(Loopback.ok(answer.list()).getBytes(StandardCharsets.UTF_8));
+            } else if (step instanceof WithholdAnswer) {
                 closed.await();
             } else {
                 return;
--- a/src/test/java/onyxpaddle/serve/ServerAnswerTest.java
+++ b/src/test/java/onyxpaddle/serve/ServerAnswerTest.java
@@ -26,9 +26,9 @@
     void spoiltAnswerFailsAndIsNotSentAgain(String answer) throws Exception {
         try (FakeServer server = new FakeServer("s1", answer, Loopback.ok("second")); Loopback on = new Loopback(server);
                 Loopback.Client client = on.client()) {
-            client.say(Loopback.request("r1", "book", "Content-Length: 2") + "hi");
-            assertEquals("502 ", client.hear());
-            assertEquals(1, server.heard.size(), "a booking that may have run was sent again");
+            client.send(Loopback.request("r1", "book", "Content-Length: 2") + "hi");
+            assertEquals("502 ", client.readAnswer());
+            assertEquals(1, server.requests.size(), "a booking that may have run was sent again");
         }
     }
 
@@ -37,8 +37,8 @@
     void bytesBehindAnAnswerNeverMeetTheNextRequest(String surplus) throws Exception {
         try (FakeServer server = new FakeServer("s1", Loopback.ok("first") + surplus, Loopback.ok("second"));
                 Loopback on = new Loopback(server); Loopback.Client client = on.client()) {
-            assertEquals("200 first", client.say(Loopback.request("r1", "book", "Content-Length: 0")).hear());
-            assertEquals("200 second", client.say(Loopback.request("r2", "book", "Content-Length: 0")).hear());
+            assertEquals("200 first", client.send(Loopback.request("r1", "book", "Content-Length: 0")).readAnswer());
+            assertEquals("200 second", client.send(Loopback.request("r2", "book", "Content-Length: 0")).readAnswer());
             assertEquals(2, server.connections.size(), "the connection with the surplus was used again");
         }
     }
@@ -48,21 +48,21 @@
         String interim = "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n";
         try (FakeServer server = new FakeServer("s1", interim + Loopback.ok("first")); Loopback on = new Loopback(server);
                 Loopback.Client client = on.client()) {
-            assertEquals("200 first", client.say(Loopback.request("r1", "read")).hear());
+            assertEquals("200 first", client.send(Loopback.request("r1", "read")).readAnswer());
         }
     }
 
     @Test
     void bookingGoesOnANewConnectionWhereKeptOnesBreak() throws Exception {
-        try (FakeServer server = new FakeServer("s1", Loopback.ok("first"), FakeServer.BREAK, Loopback.ok("again"),
+        try (FakeServer server = new FakeServer("s1", Loopback.ok("first"), FakeServer.RESET, Loopback.ok("again"),
                     Loopback.ok("booked")); Loopback on = new Loopback(server); Loopback.Client client = on.client()) {
-            assertEquals("200 first", client.say(Loopback.request("r1", "read")).hear());
+            assertEquals("200 first", client.send(Loopback.request("r1", "read")).readAnswer());
             // Long enough for a connection to be used again.
             Thread.sleep(100);
-            assertEquals("200 again", client.say(Loopback.request("r2", "read")).hear());
+            assertEquals("200 again", client.send(Loopback.request("r2", "read")).readAnswer());
             assertEquals(2, server.connections.size(), "the first was to be used again, and broken");
             Thread.sleep(100);
-            assertEquals("200 booked", client.say(Loopback.request("r3", "book", "Content-Length: 0")).hear());
+            assertEquals("200 booked", client.send(Loopback.request("r3", "book", "Content-Length: 0")).readAnswer());
             assertEquals(3, server.connections.size());
         }
     }
@@ -71,8 +71,8 @@
     void requestThatTheServerFindsAtFaultIsNotSentAgain() throws Exception {
         try (FakeServer server = new FakeServer("s1", "HTTP/1.1 400 No\r\nContent-Length: 0\r\n\r\n", Loopback.ok("no"));
                 Loopback on = new Loopback(server); Loopback.Client client = on.client()) {
-            assertEquals("503 ", client.say(Loopback.request("r1", "read")).hear());
-            assertEquals(1, server.heard.size());
+            assertEquals("503 ", client.send(Loopback.request("r1", "read")).readAnswer());
+            assertEquals(1, server.requests.size());
         }
     }
 
@@ -82,9 +82,9 @@
         String bare = "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n";
         try (FakeServer server = new FakeServer("s1", never, bare); Loopback on = new Loopback(server);
                 Loopback.Client client = on.client()) {
-            assertEquals("502 ", client.say(Loopback.request("r1", "book", "Content-Length: 0")).hear());
-            assertTrue(server.heard().contains("r1") && server.heard().contains("r1"));
-            assertEquals(0, server.heard.size());
+            assertEquals("502 ", client.send(Loopback.request("r1", "book", "Content-Length: 0")).readAnswer());
+            assertTrue(server.nextRequest().contains("r1") && server.nextRequest().contains("r1"));
+            assertEquals(0, server.requests.size());
         }
     }
 }
--- a/src/test/java/onyxpaddle/serve/SharedServersTest.java
+++ b/src/test/java/onyxpaddle/serve/SharedServersTest.java
@@ -54,7 +54,7 @@
 
     private HttpResponse<byte[]> post(RpcRig rig, String path, byte[] body, String... headers) throws Exception {
         HttpRequest.Builder request = HttpRequest.newBuilder(URI.create("http://127.0.0.1:"
-            + rig.node.address("web").getPort() + path)).timeout(SidecarRig.PATIENCE).POST(BodyPublishers.ofByteArray(body));
+            + rig.node.address("web").getPort() + path)).timeout(SidecarRig.TIMEOUT).POST(BodyPublishers.ofByteArray(body));
         if (headers.length > 0) {
             request.headers(headers);
         }
@@ -63,7 +63,7 @@
 
     @Test
     void eachProtocolGoesByItsOwnWhereTheServerSpeaksBoth() throws Exception {
-        try (Box box = new Box("one"); RpcRig rig = new RpcRig(config("", box.both("one"))); RpcCaller caller = rig.caller()) {
+        try (Box box = new Box("one"); RpcRig rig = new RpcRig(config("", box.bothProtocols("one"))); RpcCaller caller = rig.caller()) {
             Reply reply = caller.ask("look.x", text("a"));
             assertEquals(text("one"), reply.result().asMapValue().map().get(text("by")));
             HttpResponse<byte[]> answer = post(rig, "/visits", "plain".getBytes(), "X-Effect", "h1");
@@ -135,7 +135,7 @@
     @Test
     void whatOneProtocolHasInFlightTheOtherSees() throws Exception {
         try (Box one = new Box("one"); Box two = new Box("two");
-                RpcRig rig = new RpcRig(config("", one.both("one"), two.both("two"))); RpcCaller caller = rig.caller()) {
+                RpcRig rig = new RpcRig(config("", one.bothProtocols("one"), two.bothProtocols("two"))); RpcCaller caller = rig.caller()) {
             for (int i = 0; i < 100; i++) {
                 assertTrue(caller.ask("look.x").ok());
             }
@@ -144,7 +144,7 @@
             List<CompletableFuture<HttpResponse<byte[]>>> open = new ArrayList<>();
             for (int i = 0; i < 60; i++) {
                 open.add(client.sendAsync(HttpRequest.newBuilder(URI.create("http://127.0.0.1:"
-                    + rig.node.address("web").getPort() + "/visits")).timeout(SidecarRig.PATIENCE)
+                    + rig.node.address("web").getPort() + "/visits")).timeout(SidecarRig.TIMEOUT)
                     .POST(BodyPublishers.ofByteArray(new byte[] {(byte) 0x90})).build(), BodyHandlers.ofByteArray()));
             }
             await(() -> open.stream().filter(CompletableFuture::isDone).count() >= 20);
@@ -156,7 +156,7 @@
             await(() -> two.ledger.served() - onTwo >= 30);
             one.frozen(false);
             for (CompletableFuture<Reply> call : calls) {
-                call.get(RpcRig.PATIENCE_S, TimeUnit.SECONDS);
+                call.get(RpcRig.TIMEOUT_S, TimeUnit.SECONDS);
             }
             for (int i = 0; i < 40; i++) {
                 assertTrue(one.ledger.runs("b" + i) + two.ledger.runs("b" + i) <= 1);
@@ -180,7 +180,7 @@
                             open.add(caller.call("book", text("c" + asked[0]++)));
                         }
                         for (CompletableFuture<Reply> reply : open) {
-                            Reply got = reply.get(RpcRig.PATIENCE_S, TimeUnit.SECONDS);
+                            Reply got = reply.get(RpcRig.TIMEOUT_S, TimeUnit.SECONDS);
                             if (!got.ok()) {
                                 wrong.add(got.error().toString());
                             }
@@ -193,11 +193,11 @@
             load.start();
             for (int i = 0; i < 12; i++) {
                 int kind = i % 4;
-                String next = kind == 0 || kind == 2 ? config("", one.both("one"), two.both("two"))
+                String next = kind == 0 || kind == 2 ? config("", one.bothProtocols("one"), two.bothProtocols("two"))
                     : kind == 1 ? config("", one.rpcOnly("one"), two.rpcOnly("two"))
                     : config("", one.httpOnly("one"), two.httpOnly("two"));
                 int before = asked[0];
-                assertNull(rig.node.change(SidecarRig.config(next)).get(RpcRig.PATIENCE_S, TimeUnit.SECONDS));
+                assertNull(rig.node.change(SidecarRig.config(next)).get(RpcRig.TIMEOUT_S, TimeUnit.SECONDS));
                 await(() -> asked[0] > before + 60 || !wrong.isEmpty());
             }
             go.set(false);
@@ -215,7 +215,7 @@
     /** The drain answers what was taken, refuses what comes, and closes. */
     @Test
     void theNodesDrain() throws Exception {
-        try (Box box = new Box("one").delay(2500, 0); RpcRig rig = new RpcRig(config("", box.both("one")));
+        try (Box box = new Box("one").delay(2500, 0); RpcRig rig = new RpcRig(config("", box.bothProtocols("one")));
                 RpcCaller caller = rig.caller()) {
             List<CompletableFuture<Reply>> taken = new ArrayList<>();
             for (int i = 0; i < 20; i++) {
@@ -231,10 +231,10 @@
                 return late.stream().anyMatch(reply -> reply.isDone() && "refused".equals(reply.join().ownCode()));
             });
             for (CompletableFuture<Reply> reply : taken) {
-                assertTrue(reply.get(RpcRig.PATIENCE_S, TimeUnit.SECONDS).ok());
+                assertTrue(reply.get(RpcRig.TIMEOUT_S, TimeUnit.SECONDS).ok());
             }
-            caller.ended().get(RpcRig.PATIENCE_S, TimeUnit.SECONDS);
-            drain.join(TimeUnit.SECONDS.toMillis(RpcRig.PATIENCE_S));
+            caller.ended().get(RpcRig.TIMEOUT_S, TimeUnit.SECONDS);
+            drain.join(TimeUnit.SECONDS.toMillis(RpcRig.TIMEOUT_S));
             assertTrue(!drain.isAlive(), "the drain goes on");
         }
     }
@@ -242,13 +242,13 @@
     /** A listener that goes at a reload serves on for a while, then refuses, and closes. */
     @Test
     void aListenerThatGoesAtAReload() throws Exception {
-        try (Box box = new Box("one"); RpcRig rig = new RpcRig(config("", box.both("one"))); RpcCaller caller = rig.caller()) {
+        try (Box box = new Box("one"); RpcRig rig = new RpcRig(config("", box.bothProtocols("one"))); RpcCaller caller = rig.caller()) {
             assertTrue(caller.ask("book", text("a")).ok());
-            String without = config("", box.both("one")).replaceAll("(?s)procedures:.*", "")
+            String without = config("", box.bothProtocols("one")).replaceAll("(?s)procedures:.*", "")
                 .replaceAll("  in: [^\\n]*\\n", "");
-            assertNull(rig.node.change(SidecarRig.config(without)).get(RpcRig.PATIENCE_S, TimeUnit.SECONDS));
+            assertNull(rig.node.change(SidecarRig.config(without)).get(RpcRig.TIMEOUT_S, TimeUnit.SECONDS));
             assertTrue(caller.ask("book", text("b")).ok(), "it was connected before");
-            caller.ended().get(RpcRig.PATIENCE_S, TimeUnit.SECONDS);
+            caller.ended().get(RpcRig.TIMEOUT_S, TimeUnit.SECONDS);
             await(() -> rig.node.retiringCount() == 0);
         }
     }
--- a/src/test/java/onyxpaddle/serve/EndTest.java
+++ b/src/test/java/onyxpaddle/serve/ShutdownTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The last moments of a node that was told to end: each request that it took has a whole answer, and what it can't answer it doesn't take. */
-class EndTest {
+class ShutdownTest {
     /** Of the class that waits longest. The end goes by it. */
     private static final double DEADLINE_S = 0.6;
     private static final String BODY = "x".repeat(100);
@@ -30,7 +30,7 @@
         node = Node.start(PlatformConfig.parse(Loopback.config(discovery, server).replace("\"deadlineS\":10", "\"deadlineS\":" + DEADLINE_S)
             .getBytes(StandardCharsets.UTF_8), Map.of()));
         try (Client client = new Client(node.address())) {
-            while (!client.say("GET /ready HTTP/1.1\r\n\r\n").hear().startsWith("200")) {
+            while (!client.send("GET /ready HTTP/1.1\r\n\r\n").readAnswer().startsWith("200")) {
                 Thread.onSpinWait();
             }
         }
@@ -56,13 +56,13 @@
     @Test
     void requestWhoseBodyComesTooLateIsTurnedAwayAndNotTaken() throws Exception {
         try (Client client = new Client(node.address())) {
-            client.say(booking("r1") + BODY.substring(1));
+            client.send(booking("r1") + BODY.substring(1));
             CompletableFuture<Void> ended = end();
-            String answer = client.hear();
+            String answer = client.readAnswer();
             assertTrue(answer != null && answer.startsWith("503"), () -> "answered " + answer);
-            assertNull(client.hear());
+            assertNull(client.readAnswer());
             ended.get();
-            assertEquals(0, server.heard.size());
+            assertEquals(0, server.requests.size());
         }
     }
 
@@ -70,9 +70,9 @@
     @Test
     void halfAHeadIsAnsweredBeforeTheNodeGoes() throws Exception {
         try (Client client = new Client(node.address())) {
-            client.say(booking("r1").substring(0, 30));
+            client.send(booking("r1").substring(0, 30));
             CompletableFuture<Void> ended = end();
-            String answer = client.hear();
+            String answer = client.readAnswer();
             assertTrue(answer != null && answer.startsWith("503"), () -> "answered " + answer);
             ended.get();
         }
--- a/src/test/java/onyxpaddle/serve/SidecarBodiesTest.java
+++ b/src/test/java/onyxpaddle/serve/SidecarBodyStreamingTest.java
@@ -15,11 +15,11 @@
 import org.junit.jupiter.api.Test;
 
 /** Bodies that are larger than what a node by file may hold are passed on as they come. */
-class SidecarBodiesTest {
+class SidecarBodyStreamingTest {
     private static final int LENGTH = 12 << 20;
 
     private static String config(String held, StandInServer box) {
-        return SidecarRig.simple("body: 64 MiB\nheld: " + held, box).replace("listeners:", "limits: {memory: 16 MiB}\nlisteners:");
+        return SidecarRig.simpleConfig("body: 64 MiB\nheld: " + held, box).replace("listeners:", "limits: {memory: 16 MiB}\nlisteners:");
     }
 
     @Test
@@ -54,7 +54,7 @@
     void whatIsLargerThanAnyBodyMayBeIsToldSoAtItsHead() throws Exception {
         try (StandInServer box = new StandInServer("box", 0); SidecarRig rig = new SidecarRig(config("64 KiB", box));
                 Client client = new Client(rig.node.address("in"))) {
-            assertTrue(client.say("POST /visits HTTP/1.1\r\nHost: a\r\nContent-Length: 70000000\r\n\r\n").hear().startsWith("413"));
+            assertTrue(client.send("POST /visits HTTP/1.1\r\nHost: a\r\nContent-Length: 70000000\r\n\r\n").readAnswer().startsWith("413"));
             assertEquals(0, box.served());
         }
     }
--- a/src/test/java/onyxpaddle/serve/SidecarDrainTest.java
+++ b/src/test/java/onyxpaddle/serve/SidecarDrainTest.java
@@ -16,15 +16,15 @@
     @Test
     void outboundSideServesUntilTheInboundOneHasDrained() throws Exception {
         try (FakeServer app = new FakeServer("app"); StandInServer box = new StandInServer("box", 0);
-                SidecarRig rig = new SidecarRig(SidecarRig.simple("", box)
+                SidecarRig rig = new SidecarRig(SidecarRig.simpleConfig("", box)
                     .replace("  in: {address: \"127.0.0.1:0\"}",
                         "  in: {address: \"127.0.0.1:0\"}\n  out: {address: \"127.0.0.1:0\", side: outbound}")
                     .replace("  app:\n", "  own: {servers: [\"" + app.address() + "\"]}\n  app:\n")
                     .replace("pool: app", "pool: own")
                     + "  - {name: out, listener: out, path: /, pool: app, class: look}\n");
                 Client caller = new Client(rig.node.address("in"))) {
-            caller.say("POST /visits HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
-            assertTrue(app.heard().startsWith("POST /visits"));
+            caller.send("POST /visits HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
+            assertTrue(app.nextRequest().startsWith("POST /visits"));
             Thread drain = new Thread(rig.node::drain);
             drain.start();
             // The inbound side is closed for new connections in time; the application, still at work, calls out.
@@ -34,13 +34,13 @@
                 Thread.sleep(20);
             }
             try (Client outbound = new Client(rig.node.address("out"))) {
-                assertEquals("200 box GET /slots 0 bytes\n", outbound.say(GET + "Connection: close\r\n\r\n").hear());
+                assertEquals("200 box GET /slots 0 bytes\n", outbound.send(GET + "Connection: close\r\n\r\n").readAnswer());
             }
             assertTrue(drain.isAlive());
             app.answers.add(Loopback.ok("done"));
-            assertEquals("200 done", caller.hear());
+            assertEquals("200 done", caller.readAnswer());
             caller.socket.close();
-            drain.join(Loopback.PATIENCE_MS);
+            drain.join(Loopback.TIMEOUT_MS);
             assertFalse(drain.isAlive());
             assertFalse(takes(rig, "out"));
         }
--- a/src/test/java/onyxpaddle/serve/SidecarInServiceTest.java
+++ b/src/test/java/onyxpaddle/serve/SidecarOperationsTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** The door, drain and replacement of a node by configuration file, both protocols, and the commands that ask for them. */
-class SidecarInServiceTest {
+class SidecarOperationsTest {
     private static final String GET = "GET /slots HTTP/1.1\r\nHost: a\r\n\r\n";
 
     private static final String BOOK = "POST /visits HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n";
@@ -80,7 +80,7 @@
             Sidecar node = Sidecar.start(config(folder, 0, 0, "address: \"" + one.hostPort() + "\"", "address: \"" + two.hostPort() + "\""));
             assertEquals(new Said(0, "yes\n", ""), command(node, "ready"));
             try (Client client = new Client(node.address("in"))) {
-                assertTrue(client.say(GET).hear().startsWith("200"));
+                assertTrue(client.send(GET).readAnswer().startsWith("200"));
             }
             String figures = command(node, "figures").out();
             assertTrue(figures.contains("svc_calls_total{tier=\"look\",code=\"success\"} 1\n"), figures);
@@ -110,20 +110,20 @@
             try (Client idle = new Client(node.address("in")); Client busy = new Client(node.address("in"));
                     RpcCaller caller = new RpcCaller(node.address("calls"))) {
                 box.answers.add(Loopback.ok("first"));
-                assertEquals("200 first", idle.say(GET).hear());
-                box.heard();
-                busy.say(BOOK);
-                box.heard();
+                assertEquals("200 first", idle.send(GET).readAnswer());
+                box.nextRequest();
+                busy.send(BOOK);
+                box.nextRequest();
                 assertEquals(0, command(node, "drain").code());
-                assertNull(idle.hear(), "an idle connection is closed");
-                caller.ended().get(Loopback.PATIENCE_MS, java.util.concurrent.TimeUnit.MILLISECONDS);
+                assertNull(idle.readAnswer(), "an idle connection is closed");
+                caller.ended().get(Loopback.TIMEOUT_MS, java.util.concurrent.TimeUnit.MILLISECONDS);
                 box.answers.add(Loopback.ok("taken"));
-                assertEquals("200 taken", busy.hear(), "what was taken is answered");
-                assertNull(busy.hear(), "and its connection closed");
+                assertEquals("200 taken", busy.readAnswer(), "what was taken is answered");
+                assertNull(busy.readAnswer(), "and its connection closed");
                 assertEquals(0, command(node, "undrain").code());
                 try (Client again = new Client(node.address("in"))) {
                     box.answers.add(Loopback.ok("after"));
-                    assertEquals("200 after", again.say(GET).hear());
+                    assertEquals("200 after", again.send(GET).readAnswer());
                 }
             }
             node.stop();
@@ -142,12 +142,12 @@
             assertEquals(0, command(next, "ready").code());
             Thread end = new Thread(first::drain);
             end.start();
-            end.join(Loopback.PATIENCE_MS);
+            end.join(Loopback.TIMEOUT_MS);
             assertFalse(end.isAlive(), "with nothing open the first goes at once");
             first.stop();
             for (int i = 0; i < 20; i++) {
                 try (Client client = new Client(next.address("in"))) {
-                    assertTrue(client.say(GET).hear().startsWith("200 one "), "what was taken out stays out");
+                    assertTrue(client.send(GET).readAnswer().startsWith("200 one "), "what was taken out stays out");
                 }
                 try (RpcCaller caller = new RpcCaller(next.address("calls"))) {
                     assertFalse(caller.ask("nothing").ok(), "the second one answers calls");
@@ -161,7 +161,7 @@
     void withoutAFolderTwoNodesCannotClaimOnePort() throws Exception {
         int port = freePort();
         try (StandInServer one = new StandInServer("one", 0)) {
-            NodeConfig config = SidecarRig.config(SidecarRig.simple("", one).replace("127.0.0.1:0", "127.0.0.1:" + port));
+            NodeConfig config = SidecarRig.config(SidecarRig.simpleConfig("", one).replace("127.0.0.1:0", "127.0.0.1:" + port));
             Sidecar first = Sidecar.start(config);
             assertTrue(assertThrows(IOException.class, () -> Sidecar.start(config)).getMessage().contains("cannot listen on"));
             first.stop();
@@ -177,11 +177,11 @@
             node.change(config(folder, freePort(), freePort(), server)).get();
             assertEquals(new Said(1, "no\n", ""), command(node, "ready"));
             try (Client client = new Client(node.address("in"))) {
-                assertTrue(client.say("GET /.lupinmount/ready HTTP/1.1\r\nHost: a\r\n\r\n").hear().startsWith("503"));
+                assertTrue(client.send("GET /.lupinmount/ready HTTP/1.1\r\nHost: a\r\n\r\n").readAnswer().startsWith("503"));
             }
             assertEquals(0, command(node, "undrain").code());
             try (Client client = new Client(node.address("in"))) {
-                assertTrue(client.say(GET).hear().startsWith("200 one "));
+                assertTrue(client.send(GET).readAnswer().startsWith("200 one "));
             }
             node.stop();
         }
@@ -190,7 +190,7 @@
     @Test
     void aDrainWithNoServerKnownEndsWithAnUndrainAndNoYesUntilThereIsOne() throws Exception {
         try (StandInServer one = new StandInServer("one", 0)) {
-            Sidecar node = Sidecar.start(SidecarRig.config(SidecarRig.simple("", one).replace("servers: [" + one.hostPort() + "]",
+            Sidecar node = Sidecar.start(SidecarRig.config(SidecarRig.simpleConfig("", one).replace("servers: [" + one.hostPort() + "]",
                 "discovery: \"127.0.0.1:" + freePort() + "\"").replace("listeners:", "admin: \"127.0.0.1:0\"\nlisteners:")));
             assertEquals(1, command(node, "ready").code());
             assertEquals(0, command(node, "drain").code());
@@ -199,7 +199,7 @@
             assertEquals(1, command(node, "ready").code());
             Thread end = new Thread(node::drain);
             end.start();
-            end.join(Loopback.PATIENCE_MS);
+            end.join(Loopback.TIMEOUT_MS);
             assertFalse(end.isAlive());
             assertEquals(1, command(node, "undrain").code(), "an end is not taken back");
             node.stop();
--- a/src/test/java/onyxpaddle/serve/SidecarReloadTest.java
+++ b/src/test/java/onyxpaddle/serve/SidecarReloadTest.java
@@ -84,10 +84,10 @@
     private static String config(int change, StandInServer one, StandInServer two) {
         String attempts = "attempts: " + (2 + change % 3);
         return switch (change % 4) {
-            case 0 -> SidecarRig.simple(attempts, one, two);
-            case 1 -> SidecarRig.simple(attempts, two);
-            case 2 -> SidecarRig.simple("attempts: 3", one);
-            default -> SidecarRig.simple(attempts, one, two).replace("pools:\n  app:", "pools:\n  box:")
+            case 0 -> SidecarRig.simpleConfig(attempts, one, two);
+            case 1 -> SidecarRig.simpleConfig(attempts, two);
+            case 2 -> SidecarRig.simpleConfig("attempts: 3", one);
+            default -> SidecarRig.simpleConfig(attempts, one, two).replace("pools:\n  app:", "pools:\n  box:")
                 .replace("pool: app", "pool: box");
         };
     }
@@ -95,16 +95,16 @@
     @Test
     void poolThatGoesWithRequestsInFlightStillAnswersThem() throws Exception {
         try (StandInServer old = new StandInServer("old", 0).held(true);
-                StandInServer next = new StandInServer("next", 0); SidecarRig rig = new SidecarRig(SidecarRig.simple("", old));
+                StandInServer next = new StandInServer("next", 0); SidecarRig rig = new SidecarRig(SidecarRig.simpleConfig("", old));
                 Client kept = new Client(rig.node.address("in"))) {
-            kept.say("POST /visits HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\n\r\nx");
+            kept.send("POST /visits HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\n\r\nx");
             await(() -> old.served() == 1);
-            String other = SidecarRig.simple("", next).replace("  app:", "  other:").replace("pool: app", "pool: other");
+            String other = SidecarRig.simpleConfig("", next).replace("  app:", "  other:").replace("pool: app", "pool: other");
             assertNull(rig.node.change(SidecarRig.config(other)).get(PATIENCE_S, TimeUnit.SECONDS));
             assertEquals("next POST /visits 1 bytes\n", rig.post("/visits", "y").body());
             assertEquals(1, rig.node.retiringCount());
             old.held(false);
-            assertEquals("200 old POST /visits 1 bytes\n", kept.hear());
+            assertEquals("200 old POST /visits 1 bytes\n", kept.readAnswer());
             await(() -> rig.node.retiringCount() == 0);
         }
     }
@@ -113,14 +113,14 @@
     @Test
     void requestHalfReadAtAChangeGoesWhereItsHeadSaid() throws Exception {
         try (StandInServer old = new StandInServer("old", 0); StandInServer next = new StandInServer("next", 0);
-                SidecarRig rig = new SidecarRig(SidecarRig.simple("", old));
+                SidecarRig rig = new SidecarRig(SidecarRig.simpleConfig("", old));
                 Client half = new Client(rig.node.address("in"))) {
-            half.say("POST /visits HTTP/1.1\r\nHost: a\r\nContent-Length: 4\r\nExpect: 100-continue\r\n\r\n");
-            assertTrue(half.hear().startsWith("100"));
-            String other = SidecarRig.simple("", next).replace("  app:", "  other:").replace("pool: app", "pool: other");
+            half.send("POST /visits HTTP/1.1\r\nHost: a\r\nContent-Length: 4\r\nExpect: 100-continue\r\n\r\n");
+            assertTrue(half.readAnswer().startsWith("100"));
+            String other = SidecarRig.simpleConfig("", next).replace("  app:", "  other:").replace("pool: app", "pool: other");
             assertNull(rig.node.change(SidecarRig.config(other)).get(PATIENCE_S, TimeUnit.SECONDS));
             Thread.sleep(150);
-            assertEquals("200 old POST /visits 4 bytes\n", half.say("late").hear());
+            assertEquals("200 old POST /visits 4 bytes\n", half.send("late").readAnswer());
             await(() -> rig.node.retiringCount() == 0);
         }
     }
@@ -129,8 +129,8 @@
     void portThatIsTakenChangesNothing() throws Exception {
         ServerSocket taken = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"));
         try (StandInServer old = new StandInServer("old", 0); StandInServer next = new StandInServer("next", 0);
-                SidecarRig rig = new SidecarRig(SidecarRig.simple("", old))) {
-            String wanted = SidecarRig.simple("", next).replace("  in: {address: \"127.0.0.1:0\"}",
+                SidecarRig rig = new SidecarRig(SidecarRig.simpleConfig("", old))) {
+            String wanted = SidecarRig.simpleConfig("", next).replace("  in: {address: \"127.0.0.1:0\"}",
                 "  in: {address: \"127.0.0.1:0\"}\n  more: {address: \"127.0.0.1:" + taken.getLocalPort() + "\"}")
                 + "  - {name: more, listener: more, path: /, pool: app, class: book}\n";
             String why = rig.node.change(SidecarRig.config(wanted)).get(PATIENCE_S, TimeUnit.SECONDS);
@@ -145,14 +145,14 @@
 
     @Test
     void listenerThatGoesAnswersWhatItHasAndTakesNoMore() throws Exception {
-        try (StandInServer app = new StandInServer("app", 0); SidecarRig rig = new SidecarRig(SidecarRig.simple("", app));
+        try (StandInServer app = new StandInServer("app", 0); SidecarRig rig = new SidecarRig(SidecarRig.simpleConfig("", app));
                 Client open = new Client(rig.node.address("in"))) {
-            assertEquals("200 app GET /slots 0 bytes\n", open.say("GET /slots HTTP/1.1\r\nHost: a\r\n\r\n").hear());
+            assertEquals("200 app GET /slots 0 bytes\n", open.send("GET /slots HTTP/1.1\r\nHost: a\r\n\r\n").readAnswer());
             int port = rig.node.address("in").getPort();
-            String moved = SidecarRig.simple("", app).replace("  in: {", "  new: {").replace("listener: in", "listener: new");
+            String moved = SidecarRig.simpleConfig("", app).replace("  in: {", "  new: {").replace("listener: in", "listener: new");
             assertNull(rig.node.change(SidecarRig.config(moved)).get(PATIENCE_S, TimeUnit.SECONDS));
             // An open connection has one more answer, which says that it is the last.
-            open.say("GET /slots HTTP/1.1\r\nHost: a\r\n\r\n");
+            open.send("GET /slots HTTP/1.1\r\nHost: a\r\n\r\n");
             String head = Loopback.head(open.socket.getInputStream());
             assertTrue(head.startsWith("HTTP/1.1 200") && head.toLowerCase().contains("connection: close"), head);
             open.socket.close();
@@ -165,8 +165,8 @@
 
     @Test
     void faultyFileChangesNothing(@TempDir Path folder) throws Exception {
-        try (StandInServer app = new StandInServer("app", 0); SidecarRig rig = new SidecarRig(SidecarRig.simple("", app))) {
-            Path file = Files.writeString(folder.resolve("node.yaml"), SidecarRig.simple("attemps: 2", app));
+        try (StandInServer app = new StandInServer("app", 0); SidecarRig rig = new SidecarRig(SidecarRig.simpleConfig("", app))) {
+            Path file = Files.writeString(folder.resolve("node.yaml"), SidecarRig.simpleConfig("attemps: 2", app));
             rig.node.reload(file);
             rig.node.reload(folder.resolve("none.yaml"));
             assertEquals("app POST /visits 1 bytes\n", rig.post("/visits", "x").body());
@@ -198,7 +198,7 @@
     void listFileIsFollowedAndHalfAListIsNot(@TempDir Path folder) throws Exception {
         try (StandInServer one = new StandInServer("one", 0); StandInServer two = new StandInServer("two", 0)) {
             Path list = Files.writeString(folder.resolve("boxes.yaml"), "servers: [\"" + one.hostPort() + "\"]\n");
-            try (SidecarRig rig = new SidecarRig(SidecarRig.simple("", one)
+            try (SidecarRig rig = new SidecarRig(SidecarRig.simpleConfig("", one)
                     .replace("servers: [" + one.hostPort() + "]", "file: " + list))) {
                 await(() -> rig.get("/slots").statusCode() == 200);
                 // Cut off in the middle of its second server, whose port would be another's.
@@ -220,8 +220,8 @@
     /** Two of them would else share the port, each with a part of the connections, and neither be told. */
     @Test
     void portOfAnotherSidecarIsTaken() throws Exception {
-        try (StandInServer box = new StandInServer("box", 0); SidecarRig first = new SidecarRig(SidecarRig.simple("", box))) {
-            String same = SidecarRig.simple("", box).replace("127.0.0.1:0\"", "127.0.0.1:" + first.node.address("in").getPort() + "\"");
+        try (StandInServer box = new StandInServer("box", 0); SidecarRig first = new SidecarRig(SidecarRig.simpleConfig("", box))) {
+            String same = SidecarRig.simpleConfig("", box).replace("127.0.0.1:0\"", "127.0.0.1:" + first.node.address("in").getPort() + "\"");
             String why = org.junit.jupiter.api.Assertions.assertThrows(java.io.IOException.class, () -> new SidecarRig(same))
                 .getMessage();
             assertTrue(why.startsWith("cannot listen on "), why);
--- a/src/test/java/onyxpaddle/serve/SidecarRig.java
+++ b/src/test/java/onyxpaddle/serve/SidecarRig.java
@@ -17,7 +17,7 @@
 
 /** A sidecar's node on loopback, by a configuration in text, and an ordinary HTTP client. */
 final class SidecarRig implements AutoCloseable {
-    static final Duration PATIENCE = Duration.ofSeconds(20);
+    static final Duration TIMEOUT = Duration.ofSeconds(20);
 
     final Sidecar node;
     final HttpClient client = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
@@ -39,7 +39,7 @@
     }
 
     /** One listener `in`, one pool `app` of these servers, two classes, and further lines for the pool. */
-    static String simple(String poolLines, StandInServer... servers) {
+    static String simpleConfig(String poolLines, StandInServer... servers) {
         StringBuilder list = new StringBuilder();
         for (StandInServer server : servers) {
             list.append(list.length() == 0 ? "" : ", ").append(server.hostPort());
@@ -66,7 +66,7 @@
     }
 
     HttpRequest.Builder request(String path) {
-        return HttpRequest.newBuilder(URI.create(url(path))).timeout(PATIENCE);
+        return HttpRequest.newBuilder(URI.create(url(path))).timeout(TIMEOUT);
     }
 
     HttpResponse<String> get(String path, String... headers) throws Exception {
--- a/src/test/java/onyxpaddle/serve/SitesGuardTest.java
+++ b/src/test/java/onyxpaddle/serve/SiteAdmissionTest.java
@@ -22,7 +22,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** A node that is told of sites: what it refuses takes nothing below, and what it can't use it serves without. */
-class SitesGuardTest {
+class SiteAdmissionTest {
     private static final String SITES = """
         version: 1
         name: two
@@ -52,14 +52,14 @@
             }
             int served = 0;
             for (int i = 0; i < 40; i++) {
-                String answer = client.say(Loopback.request("r" + i, "read")).hear();
+                String answer = client.send(Loopback.request("r" + i, "read")).readAnswer();
                 served += answer.equals("200 yes") ? 1 : 0;
                 assertTrue(answer.startsWith("200 ") || answer.startsWith("503 "), answer);
             }
             assertTrue(served < 20, served + " served");
-            assertEquals(served, server.heard.size());
+            assertEquals(served, server.requests.size());
             server.answers.add(Loopback.ok("yes"));
-            assertEquals("200 yes", client.say(Loopback.request("b", "book", "Content-Length: 0")).hear(), "a class that the plan does not know");
+            assertEquals("200 yes", client.send(Loopback.request("b", "book", "Content-Length: 0")).readAnswer(), "a class that the plan does not know");
         }
     }
 
@@ -73,12 +73,12 @@
             assertTrue(site(rig, 1, "release", "c").contains("does not know the site `c`"));
             server.answers.add(Loopback.ok("yes"));
             // Its connection is made here: a node closes a new one that says nothing for 2.2 s.
-            Client client = rig.client().say(Loopback.request("b", "book", "Content-Length: 0"));
+            Client client = rig.client().send(Loopback.request("b", "book", "Content-Length: 0"));
             assertTrue(site(rig, 0, "state").contains("\"phase\":\"lost\",\"held\":true"));
             Loopback.await(() -> told(0, rig, "node", "figures").contains("svc_inflight 1\n"));
-            assertEquals(0, server.heard.size());
+            assertEquals(0, server.requests.size());
             site(rig, 0, "release", "a");
-            assertEquals("200 yes", client.hear());
+            assertEquals("200 yes", client.readAnswer());
             client.close();
         }
     }
@@ -103,7 +103,7 @@
         try (FakeServer server = new FakeServer("s0"); Loopback rig = new Loopback(file.toString(), server); Client client = rig.client()) {
             for (int i = 0; i < 10; i++) {
                 server.answers.add(Loopback.ok("yes"));
-                assertEquals("200 yes", client.say(Loopback.request("r" + i, "read")).hear());
+                assertEquals("200 yes", client.send(Loopback.request("r" + i, "read")).readAnswer());
             }
         }
     }
--- a/src/test/java/onyxpaddle/serve/StreamedBodiesTest.java
+++ b/src/test/java/onyxpaddle/serve/StreamedBodiesTest.java
@@ -43,7 +43,7 @@
         void serve(Socket socket) throws Exception {
             for (String head = Loopback.head(socket.getInputStream()); head != null;
                     head = Loopback.head(socket.getInputStream())) {
-                heard.add(head);
+                requests.add(head);
                 script.run(head, socket.getInputStream(), socket.getOutputStream(), socket);
             }
         }
@@ -97,11 +97,11 @@
         try (Scripted server = new Scripted("s1", (head, in, out, socket) -> {
             out.write(ascii("HTTP/1.1 200 OK\r\nContent-Length: " + body.length + "\r\n\r\n"));
             out.write(body, 0, 100);
-            goOn.poll(Loopback.PATIENCE_MS, TimeUnit.MILLISECONDS);
+            goOn.poll(Loopback.TIMEOUT_MS, TimeUnit.MILLISECONDS);
             out.write(body, 100, body.length - 100);
         }); Loopback on = new Loopback(server); Client client = on.client()) {
             for (int i = 0; i < 2; i++) {
-                client.say(Loopback.request("r" + i, "read"));
+                client.send(Loopback.request("r" + i, "read"));
                 InputStream in = client.socket.getInputStream();
                 assertTrue(Loopback.head(in).contains("content-length: " + body.length));
                 assertArrayEquals(Arrays.copyOf(body, 100), in.readNBytes(100));
@@ -132,11 +132,11 @@
         }); Loopback on = new Loopback(server); Client client = on.client()) {
             InputStream in = client.socket.getInputStream();
             for (int i = 0; i < 2; i++) {
-                client.say(Loopback.request("r" + i, "read"));
+                client.send(Loopback.request("r" + i, "read"));
                 assertTrue(Loopback.head(in).contains("transfer-encoding: chunked"));
                 assertArrayEquals(body, chunks(in));
             }
-            client.say(Loopback.request("r2", "read"));
+            client.send(Loopback.request("r2", "read"));
             assertTrue(Loopback.head(in).contains("content-length: 100"), "a small one is held whole");
             assertArrayEquals(Arrays.copyOf(body, 100), in.readNBytes(100));
         }
@@ -154,7 +154,7 @@
             }
         }); Loopback on = new Loopback(server); Client client = new Client(on.node.address())) {
             client.socket.setReceiveBufferSize(64 * 1024);
-            client.say(Loopback.request("r1", "read"));
+            client.send(Loopback.request("r1", "read"));
             InputStream in = client.socket.getInputStream();
             Loopback.head(in);
             long before;
@@ -163,7 +163,7 @@
                 // What the system holds on the way settles; other clients are served meanwhile.
                 try (Client other = on.client()) {
                     for (int i = 0; i < 200; i++) {
-                        other.say("GET /ready HTTP/1.1\r\n\r\n").hear();
+                        other.send("GET /ready HTTP/1.1\r\n\r\n").readAnswer();
                     }
                 }
             } while (written.get() > before);
@@ -187,7 +187,7 @@
         }); Loopback on = new Loopback(server)) {
             for (int i = 0; i < 2; i++) {
                 try (Client client = on.client()) {
-                    client.say(Loopback.request("r" + i, "read"));
+                    client.send(Loopback.request("r" + i, "read"));
                     InputStream in = client.socket.getInputStream();
                     Loopback.head(in);
                     int got = 0;
@@ -200,7 +200,7 @@
                     assertTrue(reset || got < 300_000 && i == 0, "the client can tell");
                 }
             }
-            assertEquals(2, server.heard.size());
+            assertEquals(2, server.requests.size());
         }
     }
 
@@ -213,20 +213,20 @@
             got.add(chunked ? chunks(in) : in.readNBytes(body.length));
             out.write(ascii(Loopback.ok("whole")));
         }); Loopback on = new Loopback(server); Client client = on.client()) {
-            client.say(Loopback.request("r1", "book", "Content-Length: " + body.length, "Expect: 100-continue"));
+            client.send(Loopback.request("r1", "book", "Content-Length: " + body.length, "Expect: 100-continue"));
             assertTrue(Loopback.head(client.socket.getInputStream()).startsWith("HTTP/1.1 100"));
             client.socket.getOutputStream().write(body);
-            assertEquals("200 whole", client.hear());
-            assertArrayEquals(body, got.poll(Loopback.PATIENCE_MS, TimeUnit.MILLISECONDS));
-            client.say(Loopback.request("r2", "book", "Transfer-Encoding: chunked"));
+            assertEquals("200 whole", client.readAnswer());
+            assertArrayEquals(body, got.poll(Loopback.TIMEOUT_MS, TimeUnit.MILLISECONDS));
+            client.send(Loopback.request("r2", "book", "Transfer-Encoding: chunked"));
             for (int at = 0; at < body.length; at += MB / 8) {
-                client.say("20000\r\n");
+                client.send("20000\r\n");
                 client.socket.getOutputStream().write(body, at, MB / 8);
-                client.say("\r\n");
+                client.send("\r\n");
             }
-            client.say("0\r\n\r\n");
-            assertEquals("200 whole", client.hear());
-            assertArrayEquals(body, got.poll(Loopback.PATIENCE_MS, TimeUnit.MILLISECONDS));
+            client.send("0\r\n\r\n");
+            assertEquals("200 whole", client.readAnswer());
+            assertArrayEquals(body, got.poll(Loopback.TIMEOUT_MS, TimeUnit.MILLISECONDS));
         }
     }
 
@@ -239,12 +239,12 @@
         };
         try (Scripted one = new Scripted("s1", full); Scripted other = new Scripted("s2", full);
                 Loopback on = new Loopback(one, other); Client client = on.client()) {
-            client.say(Loopback.request("r1", "book", "Content-Length: " + body.length));
+            client.send(Loopback.request("r1", "book", "Content-Length: " + body.length));
             client.socket.getOutputStream().write(body);
-            assertTrue(client.hear().startsWith("503"));
-            assertEquals(1, one.heard.size() + other.heard.size());
-            client.say(Loopback.request("r2", "book", "Content-Length: 3")).say("abc");
-            assertTrue(client.hear().startsWith("503"), "the connection goes on");
+            assertTrue(client.readAnswer().startsWith("503"));
+            assertEquals(1, one.requests.size() + other.requests.size());
+            client.send(Loopback.request("r2", "book", "Content-Length: 3")).send("abc");
+            assertTrue(client.readAnswer().startsWith("503"), "the connection goes on");
         }
     }
 
@@ -254,11 +254,11 @@
         try (Scripted server = new Scripted("s1", (head, in, out, socket) -> got.add(in.readNBytes(3 * MB).length));
                 Loopback on = new Loopback(server)) {
             try (Client client = on.client()) {
-                client.say(Loopback.request("r1", "book", "Content-Length: " + 3 * MB));
+                client.send(Loopback.request("r1", "book", "Content-Length: " + 3 * MB));
                 client.socket.getOutputStream().write(noise(2 * MB));
-                server.heard();
+                server.nextRequest();
             }
-            assertTrue(got.poll(Loopback.PATIENCE_MS, TimeUnit.MILLISECONDS) < 3 * MB);
+            assertTrue(got.poll(Loopback.TIMEOUT_MS, TimeUnit.MILLISECONDS) < 3 * MB);
         }
     }
 
@@ -273,18 +273,18 @@
                 got.add(-1);
             }
         }); Loopback on = new Loopback(server); Client client = on.client()) {
-            client.say(Loopback.request("r1", "book", "Transfer-Encoding: chunked"));
+            client.send(Loopback.request("r1", "book", "Transfer-Encoding: chunked"));
             try {
                 for (int i = 0; i < 42; i++) {
-                    client.say("100000\r\n");
+                    client.send("100000\r\n");
                     client.socket.getOutputStream().write(part);
-                    client.say("\r\n");
+                    client.send("\r\n");
                 }
-                client.say("0\r\n\r\n");
+                client.send("0\r\n\r\n");
             } catch (SocketException e) {
                 // It is closed on the client, which may come before the client has sent all of it.
             }
-            assertEquals(-1, got.poll(Loopback.PATIENCE_MS, TimeUnit.MILLISECONDS), "its last byte has never come");
+            assertEquals(-1, got.poll(Loopback.TIMEOUT_MS, TimeUnit.MILLISECONDS), "its last byte has never come");
         }
     }
 
@@ -293,17 +293,17 @@
         try (FakeServer server = new FakeServer("s1", "HTTP/1.1 200 \r\nContent-Length: 4\r\n\r\nfine",
                 "HTTP/1.1 102 \r\n\r\nHTTP/1.1 200 \r\nContent-Length: 4\r\n\r\nfine"); Loopback on = new Loopback(server);
                 Client client = on.client()) {
-            assertEquals("200 fine", client.say(Loopback.request("r1", "book", "Content-Length: 0")).hear());
-            assertEquals("200 fine", client.say(Loopback.request("r2", "book", "Content-Length: 0")).hear());
+            assertEquals("200 fine", client.send(Loopback.request("r1", "book", "Content-Length: 0")).readAnswer());
+            assertEquals("200 fine", client.send(Loopback.request("r2", "book", "Content-Length: 0")).readAnswer());
         }
     }
 
     @Test
     void tooLargeIsToldAtOnce() throws Exception {
         try (FakeServer server = new FakeServer("s1"); Loopback on = new Loopback(server); Client client = on.client()) {
-            assertTrue(client.say(Loopback.request("r1", "book", "Content-Length: 60000000")).hear().startsWith("413"));
-            assertNull(client.hear());
-            assertEquals(0, server.heard.size());
+            assertTrue(client.send(Loopback.request("r1", "book", "Content-Length: 60000000")).readAnswer().startsWith("413"));
+            assertNull(client.readAnswer());
+            assertEquals(0, server.requests.size());
         }
     }
 
@@ -318,7 +318,7 @@
             }
         }); Loopback on = new Loopback(server); Client client = on.client()) {
             for (int i = 0; i < 3; i++) {
-                client.say(Loopback.request("r" + i, "read"));
+                client.send(Loopback.request("r" + i, "read"));
                 InputStream in = client.socket.getInputStream();
                 Loopback.head(in);
                 assertArrayEquals(body, in.readNBytes(body.length));
