--- a/src/main/java/onyxpaddle/admin/AdminOperations.java
+++ b/src/main/java/onyxpaddle/admin/AdminOperations.java
@@ -1,31 +1,31 @@
 package onyxpaddle.admin;
 
-/** What the operators' door asks of the node. On the event loop, and at once. */
+/** The operations that the admin server calls. They run on the event loop and must not block. */
 public interface AdminOperations {
     /** Whether this process is ready to serve. */
     boolean ready();
 
-    /** The figures, in the text format. */
-    String figures();
+    /** The metrics in the Prometheus text format. */
+    String metrics();
 
-    /** How each server of each pool stands, as JSON. */
+    /** The status of each server of each pool, as JSON. */
     String servers();
 
-    /** What is announced by BGP and to whom, as JSON; null where nothing is. */
+    /** BGP peers and announced addresses, as JSON; null without BGP. */
     String bgp();
 
-    /** How sites stand with the node, as JSON; null where it knows of none. */
+    /** The status of each site, as JSON; null if no pool has sites. */
     String sites();
 
-    /** Holds a site or releases it; false where that can't be. */
-    boolean site(String name, boolean hold);
+    /** Holds a site or releases it; false if that is not possible. */
+    boolean setSiteHeld(String name, boolean hold);
 
-    /** Empties the node; false where that can't be. */
+    /** Drains the node; false if that is not possible. */
     boolean drain();
 
-    /** Takes a server out by its id, or puts it back; false where no such server is known. */
-    boolean takeOut(String server, boolean out);
+    /** Disables or enables a server; false if no server has this id. */
+    boolean setServerDisabled(String server, boolean disabled);
 
-    /** Back to work; false where that can't be. */
+    /** Ends the drain of the node; false if that is not possible. */
     boolean undrain();
 }
--- a/src/main/java/onyxpaddle/admin/AdminServer.java
+++ b/src/main/java/onyxpaddle/admin/AdminServer.java
@@ -36,32 +36,32 @@
 import onyxpaddle.node.Log;
 
 /**
- * The operators' door: a listener of its own for a few calls, one to a connection. Guards the operators' view of the node
- * against the node's own load and against callers who say nothing: it has connections and memory of its own, both bounded,
- * and one that is slow goes for one that comes. It should cover any use of the clients' address, as that has no way here.
- * It would do harm where an operator's call takes over two seconds to come, or where more than {@value #MOST} call at once.
+ * The admin server: a separate listener for operators' calls, one per connection. It keeps the node observable under load and despite
+ * callers that send nothing: its connections and memory are its own and bounded, and at the limit a new connection replaces the oldest.
+ * Nothing that clients do on the node's listeners affects it. Drawback: a call that takes more than two seconds fails, and so does
+ * the oldest one if more than {@value #MAX_CONNECTIONS} are open at once.
  */
 public final class AdminServer {
-    private static final int MOST = 24;
-    private static final int LONGEST_CALL_MS = 2_000;
-    /** What is left unread when the answer is given is read off for so long, or the close would reset the answer away. */
+    private static final int MAX_CONNECTIONS = 24;
+    private static final int CALL_TIMEOUT_MS = 2_000;
+    /** How long unread input is drained after the answer, as closing with unread input resets the connection and loses the answer. */
     private static final int LINGER_MS = 500;
-    private static final int LONGEST_LINE = 1024;
-    private static final int LONGEST_HEAD = 4 * 1024;
-    private static final int LONGEST_BODY = 1024;
+    private static final int MAX_LINE = 1024;
+    private static final int MAX_HEAD = 4 * 1024;
+    private static final int MAX_BODY = 1024;
     private static final int READ_SIZE = 2048;
-    private static final int MOST_PARAMETERS = 8;
+    private static final int MAX_PARAMETERS = 8;
 
     private final EventLoop loop;
     private final ByteBufAllocator allocator;
-    private final AdminOperations calls;
+    private final AdminOperations operations;
     private final LinkedHashSet<Channel> open = new LinkedHashSet<>();
     private Channel listener;
 
-    public AdminServer(EventLoop loop, ByteBufAllocator allocator, AdminOperations calls) {
+    public AdminServer(EventLoop loop, ByteBufAllocator allocator, AdminOperations operations) {
         this.loop = loop;
         this.allocator = allocator;
-        this.calls = calls;
+        this.operations = operations;
     }
 
     public ChannelFuture listen(InetSocketAddress address) {
@@ -76,7 +76,7 @@
                 protected void initChannel(SocketChannel channel) {
                     opened(channel);
                     channel.pipeline().addLast(new HttpRequestDecoder(new HttpDecoderConfig()
-                        .setMaxInitialLineLength(LONGEST_LINE).setMaxHeaderSize(LONGEST_HEAD).setMaxChunkSize(READ_SIZE)),
+                        .setMaxInitialLineLength(MAX_LINE).setMaxHeaderSize(MAX_HEAD).setMaxChunkSize(READ_SIZE)),
                         new HttpResponseEncoder(), new Call());
                 }
             })
@@ -95,22 +95,23 @@
     }
 
     private void opened(Channel channel) {
-        while (open.size() >= MOST) {
+        while (open.size() >= MAX_CONNECTIONS) {
             Channel oldest = open.iterator().next();
             open.remove(oldest);
             oldest.close();
         }
         open.add(channel);
-        Future<?> late = loop.schedule(() -> channel.close(), LONGEST_CALL_MS, TimeUnit.MILLISECONDS);
+        Future<?> timeout = loop.schedule(() -> channel.close(), CALL_TIMEOUT_MS, TimeUnit.MILLISECONDS);
         channel.closeFuture().addListener(f -> {
-            late.cancel(false);
+            timeout.cancel(false);
             open.remove(channel);
         });
     }
 
     private record Result(HttpResponseStatus status, String type, String text) {
-        static Result of(boolean yes) {
-            return new Result(yes ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE, "text/plain", yes ? "yes\n" : "no\n");
+        static Result of(boolean success) {
+            return new Result(success ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE, "text/plain",
+                success ? "yes\n" : "no\n");
         }
 
         static Result of(HttpResponseStatus status) {
@@ -119,27 +120,27 @@
     }
 
     private Result call(HttpMethod method, String uri) {
-        QueryStringDecoder query = new QueryStringDecoder(uri, StandardCharsets.UTF_8, true, MOST_PARAMETERS);
+        QueryStringDecoder query = new QueryStringDecoder(uri, StandardCharsets.UTF_8, true, MAX_PARAMETERS);
         String path = query.rawPath();
-        HttpMethod wanted = switch (path) {
+        HttpMethod expected = switch (path) {
             case "/ready", "/metrics", "/servers", "/bgp", "/sites" -> HttpMethod.GET;
             case "/drain", "/undrain", "/servers/disable", "/servers/enable", "/sites/hold", "/sites/release" -> HttpMethod.POST;
             default -> null;
         };
-        if (wanted == null) {
+        if (expected == null) {
             return Result.of(HttpResponseStatus.NOT_FOUND);
-        } else if (!method.equals(wanted)) {
+        } else if (!method.equals(expected)) {
             return Result.of(HttpResponseStatus.METHOD_NOT_ALLOWED);
         }
         return switch (path) {
-            case "/ready" -> Result.of(calls.ready());
-            case "/metrics" -> new Result(HttpResponseStatus.OK, MetricsExposition.TYPE, calls.figures());
-            case "/servers" -> new Result(HttpResponseStatus.OK, "application/json", calls.servers());
-            case "/bgp" -> json(calls.bgp());
-            case "/sites" -> json(calls.sites());
-            case "/drain" -> Result.of(calls.drain());
-            case "/undrain" -> Result.of(calls.undrain());
-            default -> byHand(query.parameters().getOrDefault("id", List.of()), path);
+            case "/ready" -> Result.of(operations.ready());
+            case "/metrics" -> new Result(HttpResponseStatus.OK, MetricsExposition.TYPE, operations.metrics());
+            case "/servers" -> new Result(HttpResponseStatus.OK, "application/json", operations.servers());
+            case "/bgp" -> json(operations.bgp());
+            case "/sites" -> json(operations.sites());
+            case "/drain" -> Result.of(operations.drain());
+            case "/undrain" -> Result.of(operations.undrain());
+            default -> callWithId(query.parameters().getOrDefault("id", List.of()), path);
         };
     }
 
@@ -147,20 +148,20 @@
         return text == null ? Result.of(HttpResponseStatus.NOT_FOUND) : new Result(HttpResponseStatus.OK, "application/json", text);
     }
 
-    private Result byHand(List<String> ids, String path) {
+    private Result callWithId(List<String> ids, String path) {
         if (ids.size() != 1 || ids.get(0).isEmpty()) {
             return Result.of(HttpResponseStatus.BAD_REQUEST);
         }
         String id = ids.get(0);
         boolean done = switch (path) {
-            case "/servers/disable" -> calls.takeOut(id, true);
-            case "/servers/enable" -> calls.takeOut(id, false);
-            default -> calls.site(id, path.endsWith("/hold"));
+            case "/servers/disable" -> operations.setServerDisabled(id, true);
+            case "/servers/enable" -> operations.setServerDisabled(id, false);
+            default -> operations.setSiteHeld(id, path.endsWith("/hold"));
         };
         return done ? Result.of(true) : Result.of(HttpResponseStatus.NOT_FOUND);
     }
 
-    /** One connection's one call. */
+    /** Handles the single call of a connection. */
     private final class Call extends SimpleChannelInboundHandler<HttpObject> {
         private HttpMethod method;
         private String uri;
@@ -179,11 +180,11 @@
             if (part instanceof HttpRequest request) {
                 method = request.method();
                 uri = request.uri();
-                // Nobody is told to go on with a body: it has no use here.
+                // No 100 (Continue) is sent, as bodies are ignored.
             }
             if (part instanceof HttpContent content) {
                 body += content.content().readableBytes();
-                if (body > LONGEST_BODY) {
+                if (body > MAX_BODY) {
                     answer(context, Result.of(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE));
                 } else if (part instanceof LastHttpContent) {
                     answer(context, callOrError());
@@ -195,7 +196,7 @@
             try {
                 return call(method, uri);
             } catch (IllegalArgumentException e) {
-                // A query whose percent signs make no sense.
+                // The query has an invalid percent-encoding.
                 return Result.of(HttpResponseStatus.BAD_REQUEST);
             }
         }
@@ -208,14 +209,14 @@
                 .set(HttpHeaderNames.CONTENT_LENGTH, response.content().readableBytes())
                 .set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
             context.writeAndFlush(response).addListener(f -> ((SocketChannel) context.channel()).shutdownOutput());
-            Future<?> lingering = loop.schedule(() -> context.close(), LINGER_MS, TimeUnit.MILLISECONDS);
-            context.channel().closeFuture().addListener(f -> lingering.cancel(false));
+            Future<?> lingerTimeout = loop.schedule(() -> context.close(), LINGER_MS, TimeUnit.MILLISECONDS);
+            context.channel().closeFuture().addListener(f -> lingerTimeout.cancel(false));
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
             if (!(cause instanceof java.io.IOException)) {
-                Log.failure("a call at the operators' door", cause);
+                Log.failure("admin call", cause);
             }
             context.close();
         }
--- a/src/main/java/onyxpaddle/admin/MetricsExposition.java
+++ b/src/main/java/onyxpaddle/admin/MetricsExposition.java
@@ -6,7 +6,7 @@
 import onyxpaddle.node.RequestCounts;
 import onyxpaddle.node.RequestCounts.RequestResult;
 
-/** The figures in Prometheus' text exposition format, version 0.0.4, under the names that the operators gave. */
+/** The node's metrics in the Prometheus text exposition format, version 0.0.4, under the metric names agreed with the operators. */
 public final class MetricsExposition {
     /** The format's media type. */
     public static final String TYPE = "text/plain; version=0.0.4; charset=utf-8";
@@ -17,19 +17,19 @@
     }
 
     /**
-     * Of all pools together: a class that several pools have is one.
+     * The sum over all pools; a class that several pools share is counted once.
      *
-     * @param tally what the process has counted since its start, over all its configurations
-     * @param leaving pools of an earlier configuration that still have requests out
-     * @param reloads how many configurations changed the node, {@code failedReloads} how many didn't
+     * @param tally the counts since the start of the process, over all its configurations
+     * @param retiredPools pools of earlier configurations that still have requests in flight
+     * @param reloads how many new configurations were applied, {@code failedReloads} how many were refused
      */
-    public static String of(RequestCounts tally, Collection<Dispatcher> pools, Collection<Dispatcher> leaving, long reloads,
+    public static String of(RequestCounts tally, Collection<Dispatcher> pools, Collection<Dispatcher> retiredPools, long reloads,
             long failedReloads) {
-        MetricsExposition to = new MetricsExposition();
-        to.type("svc_calls_total", "counter", "Requests that have their final answer, by class and by how they ended.");
+        MetricsExposition exposition = new MetricsExposition();
+        exposition.type("svc_calls_total", "counter", "Requests that have their final answer, by class and by how they ended.");
         for (String name : tally.classes()) {
             for (RequestResult end : RequestResult.values()) {
-                to.line("svc_calls_total{tier=\"" + escaped(name) + "\",code=\"" + end.name().toLowerCase(Locale.ROOT)
+                exposition.line("svc_calls_total{tier=\"" + escaped(name) + "\",code=\"" + end.name().toLowerCase(Locale.ROOT)
                     + "\"}", tally.count(name, end));
             }
         }
@@ -41,19 +41,20 @@
             listed += pool.fleet().listed();
             down += pool.fleet().avoided();
         }
-        for (Dispatcher pool : leaving) {
+        for (Dispatcher pool : retiredPools) {
             inflight += pool.unanswered();
         }
-        to.one("svc_backend_calls_total", "counter", "Attempts written whole to servers.", tally.attempts());
-        to.one("svc_inflight", "gauge", "Requests taken that have no final answer yet.", inflight);
-        to.one("svc_hosts_listed", "gauge", "Servers on the list.", listed);
-        to.one("svc_hosts_down", "gauge", "Servers on the list that the node avoids now.", down);
-        to.one("svc_reconfig_ok_total", "counter", "New configurations that are in force or were.", reloads);
-        to.one("svc_reconfig_failed_total", "counter", "New configurations that changed nothing, being at fault.", failedReloads);
-        return to.text.toString();
+        exposition.single("svc_backend_calls_total", "counter", "Attempts written whole to servers.", tally.attempts());
+        exposition.single("svc_inflight", "gauge", "Requests taken that have no final answer yet.", inflight);
+        exposition.single("svc_hosts_listed", "gauge", "Servers on the list.", listed);
+        exposition.single("svc_hosts_down", "gauge", "Servers on the list that the node avoids now.", down);
+        exposition.single("svc_reconfig_ok_total", "counter", "New configurations that are in force or were.", reloads);
+        exposition.single("svc_reconfig_failed_total", "counter", "New configurations that changed nothing, being at fault.",
+            failedReloads);
+        return exposition.text.toString();
     }
 
-    private void one(String name, String type, String help, long value) {
+    private void single(String name, String type, String help, long value) {
         type(name, type, help);
         line(name, value);
     }
@@ -67,7 +68,7 @@
         text.append(series).append(' ').append(value).append('\n');
     }
 
-    /** A label's value: backslash, quote and line feed are escaped. */
+    /** Escapes backslash, quote and line feed in a label value. */
     static String escaped(String value) {
         return value.replace("\\", "\\\\").replace("\"", "\\\"").replace("\n", "\\n");
     }
--- a/src/main/java/onyxpaddle/admin/ServerReport.java
+++ b/src/main/java/onyxpaddle/admin/ServerReport.java
@@ -10,7 +10,7 @@
 import onyxpaddle.BalancerApi.ServerStatus;
 import onyxpaddle.node.Dispatcher;
 
-/** How the servers of all pools stand with a node, as JSON: an array, one object for each server of each pool. */
+/** The status of the servers of all pools at a node, as JSON: an array with one object for each server of each pool. */
 public final class ServerReport {
     private ServerReport() {
     }
--- a/src/main/java/onyxpaddle/admin/SiteReport.java
+++ b/src/main/java/onyxpaddle/admin/SiteReport.java
@@ -10,12 +10,12 @@
 import onyxpaddle.node.Dispatcher;
 import onyxpaddle.node.SiteGate;
 
-/** How sites stand with a node, as JSON: an array, one object for each site of each pool that knows of sites. */
+/** The status of the sites at a node, as JSON: an array with one object for each site of each pool that has sites. */
 public final class SiteReport {
     private SiteReport() {
     }
 
-    /** Null where no pool knows of sites. */
+    /** Null if no pool has sites. */
     public static String of(Map<String, Dispatcher> pools) {
         StringWriter text = new StringWriter();
         boolean any = false;
--- a/src/main/java/onyxpaddle/handover/HandoverMessage.java
+++ b/src/main/java/onyxpaddle/handover/HandoverMessage.java
@@ -19,47 +19,48 @@
 import onyxpaddle.BalancerApi.ServerSnapshot;
 
 /**
- * What one process of a node tells the next, as bytes: a magic, a version, the length and the CRC32C of the rest, and the
- * rest as JSON. Big-endian. {@link #LARGEST} bounds it; what is longer, torn, foreign or senseless is refused with a reason.
+ * Serialized state that one process of a node hands over to the next: magic, version, length and CRC32C of the payload, and the payload
+ * as JSON. Big-endian, payload limited to {@link #MAX_PAYLOAD}. Messages that are too long, truncated, corrupt, of another format or
+ * invalid are refused with a reason.
  */
 public final class HandoverMessage {
     static final int MAGIC = 0x4c55504e;
     static final int VERSION = 3;
-    /** Bytes before the payload: magic, version, length, checksum. */
-    public static final int HEAD = 16;
+    /** Size of the header in bytes: magic, version, length, checksum. */
+    public static final int HEADER_SIZE = 16;
     /**
-     * The most bytes of payload: some 10,000 servers with full windows and names of usual length, 3,000 with the longest. It bounds
-     * what a process that speaks nonsense can make the other one hold; what is held grows with what has come.
+     * Maximum payload in bytes: enough for 10,000 servers with full sample windows and names of usual length, or 3,000 with the longest
+     * names. Bounds the memory that a faulty sender can make the receiver use; the receiver's buffer grows with the bytes received.
      */
-    public static final int LARGEST = 4 << 20;
-    private static final int MOST_SERVERS = 10_000;
-    private static final int MOST_POOLS = 64;
-    private static final int MOST_CLASSES = 1_000;
-    private static final int LONGEST_NAME = 1024;
+    public static final int MAX_PAYLOAD = 4 << 20;
+    private static final int MAX_SERVERS = 10_000;
+    private static final int MAX_POOLS = 64;
+    private static final int MAX_CLASSES = 1_000;
+    private static final int MAX_NAME = 1024;
     private static final JsonFactory JSON = JsonFactory.builder().streamReadConstraints(StreamReadConstraints.builder()
-        .maxNestingDepth(8).maxStringLength(LONGEST_NAME).maxNumberLength(40).build()).build();
+        .maxNestingDepth(8).maxStringLength(MAX_NAME).maxNumberLength(40).build()).build();
 
     private HandoverMessage() {
     }
 
-    /** What the new process says first: the magic, the version, and the node's name, as only the same node's state is of use. */
-    public static byte[] hello(String node) {
+    /** The request of the new process: magic, version and the node's name, as the state is valid for the same node only. */
+    public static byte[] request(String node) {
         byte[] name = node.getBytes(StandardCharsets.UTF_8);
         return ByteBuffer.allocate(12 + name.length).putInt(MAGIC).putInt(VERSION).putInt(name.length).put(name).array();
     }
 
-    /** The message, by pool; servers that would make it too long are left out, as their state can be learnt again. */
+    /** Serializes the state by pool. Servers beyond the maximum payload are omitted, as their state can be learnt again. */
     public static byte[] write(Map<String, BalancerSnapshot> pools) throws IOException {
-        int most = MOST_SERVERS;
-        byte[] payload = json(pools, most);
-        while (payload.length > LARGEST && most > 0) {
-            most /= 2;
-            payload = json(pools, most);
+        int maxServers = MAX_SERVERS;
+        byte[] payload = json(pools, maxServers);
+        while (payload.length > MAX_PAYLOAD && maxServers > 0) {
+            maxServers /= 2;
+            payload = json(pools, maxServers);
         }
-        if (payload.length > LARGEST || pools.size() > MOST_POOLS) {
+        if (payload.length > MAX_PAYLOAD || pools.size() > MAX_POOLS) {
             throw new IOException("too many classes or pools to hand over: " + payload.length + " bytes, " + pools.size() + " pools");
         }
-        return ByteBuffer.allocate(HEAD + payload.length).putInt(MAGIC).putInt(VERSION).putInt(payload.length)
+        return ByteBuffer.allocate(HEADER_SIZE + payload.length).putInt(MAGIC).putInt(VERSION).putInt(payload.length)
             .putInt(checksum(payload)).put(payload).array();
     }
 
@@ -69,62 +70,62 @@
         return (int) crc.getValue();
     }
 
-    /** The payload's length by a head of {@link #HEAD} bytes. */
-    public static int length(byte[] head) throws IOException {
-        ByteBuffer in = ByteBuffer.wrap(head);
+    /** Reads the payload's length from a header of {@link #HEADER_SIZE} bytes. */
+    public static int length(byte[] header) throws IOException {
+        ByteBuffer in = ByteBuffer.wrap(header);
         if (in.getInt() != MAGIC) {
-            throw new IOException("not a handover");
+            throw new IOException("not a handover message");
         }
         int version = in.getInt();
         if (version != VERSION) {
-            throw new IOException("version " + version + " of the handover, and this is " + VERSION);
+            throw new IOException("handover message of version " + version + ", expected " + VERSION);
         }
         int length = in.getInt();
-        if (length < 2 || length > LARGEST) {
-            throw new IOException("a handover of " + length + " bytes, and " + LARGEST + " is the most");
+        if (length < 2 || length > MAX_PAYLOAD) {
+            throw new IOException("handover message of " + length + " bytes, " + MAX_PAYLOAD + " is the most");
         }
         return length;
     }
 
-    /** Reads a whole message: what is known, by pool. */
+    /** Parses a complete message and returns the state by pool. */
     public static Map<String, BalancerSnapshot> read(byte[] message) throws IOException {
-        if (message.length < HEAD) {
-            throw new IOException("a handover that breaks off in its head");
+        if (message.length < HEADER_SIZE) {
+            throw new IOException("handover message truncated in its header");
         }
         int length = length(message);
-        byte[] payload = java.util.Arrays.copyOfRange(message, HEAD, message.length);
+        byte[] payload = java.util.Arrays.copyOfRange(message, HEADER_SIZE, message.length);
         if (payload.length != length) {
-            throw new IOException("a handover of " + payload.length + " bytes that says " + length);
+            throw new IOException("handover message with " + payload.length + " bytes of payload, its header says " + length);
         }
         if (ByteBuffer.wrap(message).getInt(12) != checksum(payload)) {
-            throw new IOException("a handover whose checksum is wrong");
+            throw new IOException("handover message with a wrong checksum");
         }
         try (JsonParser p = JSON.createParser(payload)) {
             Map<String, BalancerSnapshot> pools = new LinkedHashMap<>();
-            open(p);
-            while (another(p, pools.size(), MOST_POOLS)) {
+            startArray(p);
+            while (nextElement(p, pools.size(), MAX_POOLS)) {
                 expect(pools.put(text(p), memory(p)) == null);
-                close(p);
+                endArray(p);
             }
             if (p.nextToken() != null) {
-                throw new IOException("a handover with more behind it");
+                throw new IOException("handover message with trailing data");
             }
             return pools;
         } catch (IllegalArgumentException e) {
-            throw new IOException("a handover that makes no sense: " + e.getMessage(), e);
+            throw new IOException("handover message with invalid state: " + e.getMessage(), e);
         }
     }
 
-    // ---- JSON: arrays by position, as both sides are of one version ----
+    // ---- JSON: positional arrays, as both sides have the same format version ----
 
-    private static byte[] json(Map<String, BalancerSnapshot> pools, int mostServers) throws IOException {
+    private static byte[] json(Map<String, BalancerSnapshot> pools, int maxServers) throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         try (JsonGenerator g = JSON.createGenerator(out)) {
             g.writeStartArray();
             for (Map.Entry<String, BalancerSnapshot> pool : pools.entrySet()) {
                 g.writeStartArray();
                 g.writeString(pool.getKey());
-                write(g, pool.getValue(), mostServers);
+                write(g, pool.getValue(), maxServers);
                 g.writeEndArray();
             }
             g.writeEndArray();
@@ -132,8 +133,8 @@
         return out.toByteArray();
     }
 
-    private static void write(JsonGenerator g, BalancerSnapshot memory, int mostServers) throws IOException {
-        List<ServerSnapshot> servers = memory.servers().subList(0, Math.min(mostServers, memory.servers().size()));
+    private static void write(JsonGenerator g, BalancerSnapshot memory, int maxServers) throws IOException {
+        List<ServerSnapshot> servers = memory.servers().subList(0, Math.min(maxServers, memory.servers().size()));
         g.writeNumber(memory.admitLimit());
         g.writeBoolean(memory.lateSeen());
         g.writeNumber(memory.retriesSaved());
@@ -185,20 +186,20 @@
         double usualWorth = number(p);
         boolean whole = flag(p);
         List<String> takenOut = new ArrayList<>();
-        open(p);
+        startArray(p);
         while (p.nextToken() != JsonToken.END_ARRAY) {
-            expect(p.currentToken() == JsonToken.VALUE_STRING && takenOut.size() < MOST_SERVERS);
+            expect(p.currentToken() == JsonToken.VALUE_STRING && takenOut.size() < MAX_SERVERS);
             takenOut.add(p.getText());
         }
         List<ClassSnapshot> classes = new ArrayList<>();
-        open(p);
-        while (another(p, classes.size(), MOST_CLASSES)) {
+        startArray(p);
+        while (nextElement(p, classes.size(), MAX_CLASSES)) {
             classes.add(new ClassSnapshot(text(p), number(p), number(p), number(p), number(p), number(p), (int) whole(p)));
-            close(p);
+            endArray(p);
         }
         List<ServerSnapshot> servers = new ArrayList<>();
-        open(p);
-        while (another(p, servers.size(), MOST_SERVERS)) {
+        startArray(p);
+        while (nextElement(p, servers.size(), MAX_SERVERS)) {
             servers.add(server(p));
         }
         return new BalancerSnapshot(servers, whole, classes, takenOut, admitLimit, lateSeen, retriesSaved, usualRank, usualWorth);
@@ -218,24 +219,24 @@
         List<Double> trips = new ArrayList<>();
         while (p.nextToken() != JsonToken.END_ARRAY) {
             if (p.currentToken() == null || !p.currentToken().isNumeric() || trips.size() > 20) {
-                throw new IOException("a handover with trips that are none");
+                throw new IOException("handover message with invalid round trips");
             }
             trips.add(p.getDoubleValue());
         }
         return new ServerSnapshot(id, startedAt, leaving, trips, sampledAt, errorShare, failures, failedAt, full, fullAt, credit);
     }
 
-    private static void open(JsonParser p) throws IOException {
+    private static void startArray(JsonParser p) throws IOException {
         expect(p.nextToken() == JsonToken.START_ARRAY);
     }
 
-    private static void close(JsonParser p) throws IOException {
+    private static void endArray(JsonParser p) throws IOException {
         expect(p.nextToken() == JsonToken.END_ARRAY);
     }
 
-    private static boolean another(JsonParser p, int before, int most) throws IOException {
+    private static boolean nextElement(JsonParser p, int count, int max) throws IOException {
         JsonToken next = p.nextToken();
-        expect(next == JsonToken.END_ARRAY || next == JsonToken.START_ARRAY && before < most);
+        expect(next == JsonToken.END_ARRAY || next == JsonToken.START_ARRAY && count < max);
         return next == JsonToken.START_ARRAY;
     }
 
@@ -261,9 +262,9 @@
         return p.getText();
     }
 
-    private static void expect(boolean sound) throws IOException {
-        if (!sound) {
-            throw new IOException("a handover that is not of its form");
+    private static void expect(boolean valid) throws IOException {
+        if (!valid) {
+            throw new IOException("handover message with an unexpected JSON structure");
         }
     }
 }
--- a/src/main/java/onyxpaddle/handover/HandoverSocket.java
+++ b/src/main/java/onyxpaddle/handover/HandoverSocket.java
@@ -27,17 +27,17 @@
 import onyxpaddle.node.Log;
 
 /**
- * The Unix socket by which a node's next process asks the one that runs for what it has learnt. A connection that has asked
- * and is still open is a successor that lives: the sign by which the one that runs knows, at SIGTERM, that another listens
- * in its place. Guards against a state that is old, torn or not this node's, which is refused; should cover either side
- * hanging or dying at any step, as each waits for a bounded time and then goes on alone. It does harm where two nodes of one
- * name share a folder: they would take each other for themselves.
+ * The Unix domain socket over which a node's next process requests the learnt state of the running one. A connection that has made its
+ * request and is still open is a live successor: this is how the running process knows at SIGTERM that another one listens in its
+ * place. State that is truncated, of another version or of another node is refused. Either side may hang or die at any step, as the
+ * other one waits for a bounded time and then continues alone. Drawback: two nodes of the same name must not share a folder, as they
+ * would be mistaken for processes of one node.
  */
 public final class HandoverSocket {
-    /** How long the new process waits; by then it starts as from nothing. */
-    private static final long LONGEST_WAIT_MS = 500;
-    private static final long LONGEST_HELLO_MS = 1_000;
-    private static final int MOST_SUCCESSORS = 4;
+    /** How long the new process waits for the state; after that it starts without. */
+    private static final long STATE_TIMEOUT_MS = 500;
+    private static final long REQUEST_TIMEOUT_MS = 1_000;
+    private static final int MAX_SUCCESSORS = 4;
 
     private final EventLoop loop;
     private final String node;
@@ -52,7 +52,7 @@
         this.address = address;
     }
 
-    /** In this folder; null where there is none or where its path is too long for a socket (some 100 bytes). */
+    /** The socket in a folder; null if there is no folder or the path is too long for a Unix domain socket (about 100 bytes). */
     public static HandoverSocket in(String folder, String node, EventLoop loop) {
         if (folder == null || folder.isEmpty()) {
             return null;
@@ -60,68 +60,68 @@
         String file = "node-" + Integer.toHexString(node.hashCode()) + ".sock";
         Path path = Path.of(folder, file);
         if (path.toString().getBytes(java.nio.charset.StandardCharsets.UTF_8).length > 100) {
-            Log.line("handover: off, as the path of its socket would be too long: " + path);
+            Log.line("handover: disabled, the path of the socket is too long: " + path);
             return null;
         }
         return new HandoverSocket(loop, node, UnixDomainSocketAddress.of(path));
     }
 
-    // ---- the new process ----
+    // ---- new process ----
 
     /**
-     * Asks the process that runs, if there is one. What comes is told once: whether one is there, and what it knows by pool, or null.
-     * The connection stays open as long as this process lives.
+     * Requests the state of the running process, if there is one. The callback is called once, with whether such a process exists and
+     * its state by pool, or null. The connection stays open for the lifetime of this process.
      */
-    public void ask(Answered done) {
+    public void requestState(StateCallback done) {
         if (!Files.exists(address.getPath())) {
-            done.answered(false, null);
+            done.completed(false, null);
             return;
         }
-        Asking asking = new Asking(done);
-        ChannelFuture dial = new Bootstrap().group(loop).channel(NioDomainSocketChannel.class)
+        StateReceiver receiver = new StateReceiver(done);
+        ChannelFuture connect = new Bootstrap().group(loop).channel(NioDomainSocketChannel.class)
             .handler(new ChannelInitializer<Channel>() {
                 @Override
                 protected void initChannel(Channel channel) {
-                    channel.pipeline().addLast(asking);
+                    channel.pipeline().addLast(receiver);
                 }
             }).connect(address);
-        dial.addListener(f -> {
+        connect.addListener(f -> {
             if (f.isSuccess()) {
-                predecessor = dial.channel();
-                predecessor.writeAndFlush(Unpooled.wrappedBuffer(HandoverMessage.hello(node)));
+                predecessor = connect.channel();
+                predecessor.writeAndFlush(Unpooled.wrappedBuffer(HandoverMessage.request(node)));
             } else {
-                // Left by a process that is gone.
-                asking.finish(false, null);
+                // Socket file left by a process that has ended.
+                receiver.finish(false, null);
             }
         });
-        loop.schedule(() -> asking.late(), LONGEST_WAIT_MS, TimeUnit.MILLISECONDS);
+        loop.schedule(() -> receiver.timeOut(), STATE_TIMEOUT_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** Hears what the process that runs has said. */
-    public interface Answered {
-        void answered(boolean present, Map<String, BalancerSnapshot> pools);
+    /** Receives the state of the running process. */
+    public interface StateCallback {
+        void completed(boolean present, Map<String, BalancerSnapshot> pools);
     }
 
-    private final class Asking extends ChannelInboundHandlerAdapter {
-        private final Answered done;
-        private final ByteBuf got = Unpooled.buffer(1024, HandoverMessage.HEAD + HandoverMessage.LARGEST);
+    private final class StateReceiver extends ChannelInboundHandlerAdapter {
+        private final StateCallback done;
+        private final ByteBuf received = Unpooled.buffer(1024, HandoverMessage.HEADER_SIZE + HandoverMessage.MAX_PAYLOAD);
         private boolean finished;
 
-        Asking(Answered done) {
+        StateReceiver(StateCallback done) {
             this.done = done;
         }
 
         private void finish(boolean present, Map<String, BalancerSnapshot> pools) {
             if (!finished) {
                 finished = true;
-                got.release();
-                done.answered(present, pools);
+                received.release();
+                done.completed(present, pools);
             }
         }
 
-        private void late() {
+        private void timeOut() {
             if (!finished) {
-                Log.line("handover: the process that runs said nothing whole in " + LONGEST_WAIT_MS + " ms");
+                Log.line("handover: the running process said nothing whole in " + STATE_TIMEOUT_MS + " ms");
                 finish(predecessor != null && predecessor.isActive(), null);
             }
         }
@@ -133,19 +133,19 @@
                 if (finished) {
                     return;
                 }
-                if (in.readableBytes() > got.maxWritableBytes()) {
-                    throw new IOException("a handover without end");
+                if (in.readableBytes() > received.maxWritableBytes()) {
+                    throw new IOException("handover message exceeds the maximum length");
                 }
-                got.writeBytes(in);
-                if (got.readableBytes() >= HandoverMessage.HEAD) {
-                    byte[] all = ByteBufUtil.getBytes(got);
-                    int whole = HandoverMessage.HEAD + HandoverMessage.length(Arrays.copyOf(all, HandoverMessage.HEAD));
+                received.writeBytes(in);
+                if (received.readableBytes() >= HandoverMessage.HEADER_SIZE) {
+                    byte[] all = ByteBufUtil.getBytes(received);
+                    int whole = HandoverMessage.HEADER_SIZE + HandoverMessage.length(Arrays.copyOf(all, HandoverMessage.HEADER_SIZE));
                     if (all.length >= whole) {
                         finish(true, HandoverMessage.read(all));
                     }
                 }
             } catch (IOException e) {
-                Log.line("handover: refused: " + e.getMessage());
+                Log.line("handover: state refused: " + e.getMessage());
                 finish(true, null);
             } finally {
                 in.release();
@@ -164,32 +164,32 @@
         }
     }
 
-    // ---- the process that runs ----
+    // ---- running process ----
 
-    /** Answers the next process from now on; takes the path over from the one before. */
+    /** Starts answering requests of the next process; replaces the socket file of the previous one. */
     public void listen(Supplier<Map<String, BalancerSnapshot>> memory) {
         try {
             Files.deleteIfExists(address.getPath());
         } catch (IOException e) {
-            Log.failure("handover: taking the socket over", e);
+            Log.failure("handover: replacing the socket file", e);
         }
         ChannelFuture bound = new ServerBootstrap().group(loop).channel(NioServerDomainSocketChannel.class)
             .childHandler(new ChannelInitializer<Channel>() {
                 @Override
                 protected void initChannel(Channel channel) {
-                    channel.pipeline().addLast(new Telling(memory));
+                    channel.pipeline().addLast(new StateSender(memory));
                 }
             }).bind(address);
         listener = bound.channel();
         bound.addListener(f -> {
             if (!f.isSuccess()) {
-                Log.failure("handover: off", f.cause());
+                Log.failure("handover: disabled, cannot listen", f.cause());
             }
         });
     }
 
-    /** Whether a process lives that has asked for this one's state. */
-    public boolean succeeded() {
+    /** Whether a process that has requested this one's state is alive. */
+    public boolean hasSuccessor() {
         return !successors.isEmpty();
     }
 
@@ -202,26 +202,26 @@
         Set.copyOf(successors).forEach(Channel::close);
     }
 
-    private final class Telling extends ChannelInboundHandlerAdapter {
+    private final class StateSender extends ChannelInboundHandlerAdapter {
         private final Supplier<Map<String, BalancerSnapshot>> memory;
-        private final byte[] expected = HandoverMessage.hello(node);
-        private int heard;
+        private final byte[] expected = HandoverMessage.request(node);
+        private int matched;
 
-        Telling(Supplier<Map<String, BalancerSnapshot>> memory) {
+        StateSender(Supplier<Map<String, BalancerSnapshot>> memory) {
             this.memory = memory;
         }
 
         @Override
         public void channelActive(ChannelHandlerContext context) {
-            if (successors.size() >= MOST_SUCCESSORS) {
+            if (successors.size() >= MAX_SUCCESSORS) {
                 context.close();
                 return;
             }
             loop.schedule(() -> {
-                if (heard < expected.length) {
+                if (matched < expected.length) {
                     context.close();
                 }
-            }, LONGEST_HELLO_MS, TimeUnit.MILLISECONDS);
+            }, REQUEST_TIMEOUT_MS, TimeUnit.MILLISECONDS);
         }
 
         @Override
@@ -229,8 +229,8 @@
             ByteBuf in = (ByteBuf) message;
             try {
                 while (in.isReadable()) {
-                    if (heard == expected.length || in.readByte() != expected[heard++]) {
-                        Log.line("handover: refused: what was asked is not this node's or not of this version");
+                    if (matched == expected.length || in.readByte() != expected[matched++]) {
+                        Log.line("handover: request refused, it is for another node or of another version");
                         context.close();
                         return;
                     }
@@ -238,14 +238,14 @@
             } finally {
                 in.release();
             }
-            if (heard == expected.length) {
-                // It is there, whatever it can be told.
+            if (matched == expected.length) {
+                // The successor is alive even if it gets no state.
                 successors.add(context.channel());
                 try {
                     context.writeAndFlush(Unpooled.wrappedBuffer(HandoverMessage.write(memory.get())));
                     Log.line("handover: told to a further process of this node");
                 } catch (IOException e) {
-                    Log.line("handover: nothing told: " + e.getMessage());
+                    Log.line("handover: no state sent: " + e.getMessage());
                 }
             }
         }
--- a/src/main/java/onyxpaddle/membership/Discovery.java
+++ b/src/main/java/onyxpaddle/membership/Discovery.java
@@ -15,22 +15,22 @@
 import onyxpaddle.watch.WatchClient;
 
 /**
- * Keeps the list of servers up to date: one call at a time, each a watch from the version held, the next at once
- * after each answer so that the watch goes on. The waits are short, as what a stalled call has to tell counts as
- * told soon after its wait. Where lists are pushed it goes on by itself; where discovery is asked it calls when
- * the module subscribes, and tells it when that failed.
+ * Keeps the list of servers up to date by long polling: one call at a time, each a watch from the current version, and the next one
+ * immediately after each answer. Waits are short, because a change counts as delivered to the node soon after its wait even if the
+ * call stalls. With an agent on each node it polls continuously; with a central discovery service it calls when the balancer
+ * subscribes and reports failed calls to the balancer.
  */
 public final class Discovery implements WatchClient.Listener {
-    /** Some 10,000 servers, indented and with long names. It bounds what an answer without end can make the node hold. */
-    private static final int LARGEST_ANSWER = 8 << 20;
-    /** Between calls that tell nothing and come back at once; within the 200 ms that a watch goes on. */
+    /** Enough for 10,000 servers with indentation and long names. Bounds the memory that an endless answer can use. */
+    private static final int MAX_ANSWER = 8 << 20;
+    /** Pause after an empty answer that came without a wait; less than the 200 ms within which a watch must be renewed. */
     private static final int PAUSE_MS = 100;
 
     private final EventLoop loop;
-    private final WatchClient calls;
-    private final boolean asked;
+    private final WatchClient client;
+    private final boolean central;
     private final Consumer<ServerList> onList;
-    private final Runnable onRefused;
+    private final Runnable onFailure;
     private Future<?> nextCall;
     private boolean calling;
     private boolean stopped;
@@ -38,45 +38,45 @@
     private final ListWatch watch;
 
     /**
-     * {@code asked}: discovery is one service that all nodes ask; {@code seq}: the version held; {@code holdsAny}: the node holds servers
-     * now, so that a whole list without any is not believed.
+     * {@code central}: discovery is one service for all nodes, not an agent on each; {@code seq}: the current version;
+     * {@code hasServers}: the node has servers now, so that an empty full list is rejected.
      */
-    public Discovery(EventLoop loop, ByteBufAllocator allocator, InetSocketAddress address, boolean asked, long seq, boolean holdsAny,
-            Consumer<ServerList> onList, Runnable onRefused) {
+    public Discovery(EventLoop loop, ByteBufAllocator allocator, InetSocketAddress address, boolean central, long seq, boolean hasServers,
+            Consumer<ServerList> onList, Runnable onFailure) {
         this.loop = loop;
-        this.asked = asked;
-        this.watch = new ListWatch(asked, seq, holdsAny, ThreadLocalRandom.current());
+        this.central = central;
+        this.watch = new ListWatch(central, seq, hasServers, ThreadLocalRandom.current());
         this.onList = onList;
-        this.onRefused = onRefused;
-        calls = new WatchClient(loop, allocator, address, LARGEST_ANSWER, this);
+        this.onFailure = onFailure;
+        client = new WatchClient(loop, allocator, address, MAX_ANSWER, this);
     }
 
     public void start() {
-        if (!asked) {
+        if (!central) {
             call();
         }
     }
 
     /**
-     * Starts in the place of another discovery. Its version numbers are its own, so the whole list is asked for, and
-     * at once, also where the module asks: what it has to tell counts as told soon after the change.
+     * Starts as the replacement of another discovery. Its version numbers are independent, so this requests the full list, and does so
+     * immediately even if the balancer subscribes, because its list counts as delivered soon after the change of discovery.
      */
-    public void startAnew() {
-        watch.anew();
+    public void restart() {
+        watch.resetVersion();
         call();
     }
 
-    /** Ends it for good: no call is made, and no answer taken, after this. */
+    /** Stops permanently: no further call is made and no further answer is processed. */
     public void stop() {
         stopped = true;
         calling = false;
         if (nextCall != null) {
             nextCall.cancel(false);
         }
-        calls.disconnect();
+        client.disconnect();
     }
 
-    /** The module asks for changes from now on. */
+    /** The balancer requests changes from now on. */
     public void subscribe() {
         if (!calling) {
             call();
@@ -89,27 +89,27 @@
         }
         calling = true;
         calledAt = System.nanoTime();
-        String uri = "/v1/endpoints" + (watch.asksForAll() ? "" : "?after=" + watch.seq() + "&wait_ms=" + watch.waitMs());
-        calls.call(uri, watch.patienceMs(), watch.wholeByMs());
+        String uri = "/v1/endpoints" + (watch.needsFullList() ? "" : "?after=" + watch.seq() + "&wait_ms=" + watch.waitMs());
+        client.call(uri, watch.firstByteTimeoutMs(), watch.totalTimeoutMs());
     }
 
-    /** Ends a call that brought nothing; what is held stays valid. {@code turnedAway}: discovery has too much to do. */
+    /** Handles a call without a usable answer; the current list stays valid. {@code refused}: discovery is overloaded or down. */
     @Override
-    public void failed(String why, boolean turnedAway) {
+    public void failed(String reason, boolean refused) {
         calling = false;
-        calls.disconnect();
+        client.disconnect();
         if (watch.failures() == 0) {
-            Log.line("discovery: " + why);
+            Log.line("discovery: " + reason);
         }
-        int pause = watch.failed(turnedAway);
-        if (pause == ListWatch.MODULE) {
-            onRefused.run();
+        int pause = watch.backoffAfterFailure(refused);
+        if (pause == ListWatch.BALANCER_DECIDES) {
+            onFailure.run();
         } else {
-            later(pause);
+            scheduleCall(pause);
         }
     }
 
-    private void later(int millis) {
+    private void scheduleCall(int millis) {
         calling = true;
         nextCall = loop.schedule(this::call, millis, TimeUnit.MILLISECONDS);
     }
@@ -124,12 +124,12 @@
         try {
             roster = RosterJson.parse(ByteBufUtil.getBytes(response.content()));
         } catch (IOException e) {
-            watch.unreadable();
-            failed("not a list", false);
+            watch.markUnreadable();
+            failed("the answer is not a valid list of servers", false);
             return;
         }
         int failures = watch.failures();
-        String fault = watch.judge(roster.whole(), roster.seq(), roster.hosts().isEmpty());
+        String fault = watch.accept(roster.whole(), roster.seq(), roster.hosts().isEmpty());
         if (fault != null) {
             failed(fault, false);
             return;
@@ -138,8 +138,8 @@
             Log.line("discovery: answers again after " + failures + " failed calls");
         }
         onList.accept(roster);
-        boolean idle = roster.hosts().isEmpty()
+        boolean returnedEarly = roster.hosts().isEmpty()
             && System.nanoTime() - calledAt < TimeUnit.MILLISECONDS.toNanos(PAUSE_MS);
-        later(idle ? PAUSE_MS : 0);
+        scheduleCall(returnedEarly ? PAUSE_MS : 0);
     }
 }
--- a/src/main/java/onyxpaddle/membership/ListFile.java
+++ b/src/main/java/onyxpaddle/membership/ListFile.java
@@ -11,48 +11,47 @@
 import onyxpaddle.node.ServerList;
 
 /**
- * A list of servers in a file that is watched for change. Guards against a list that is read while it is written: it
- * is taken only once the file has stood still from one look to the next, and only if it can be read whole; whatever is
- * wrong with it, the list taken last stays, and the reason is said once. It would do harm where a file changes at
- * every look, for ever: then no list of it is ever taken. Everything here but the list's taking is off the event loop,
- * by one thread.
+ * A file with a list of servers that is polled for changes. Guards against reading a file while it is being written: a list is applied
+ * only after the file was unchanged between two polls, and only if it is valid. Otherwise the previous list stays in use, and the
+ * reason is logged once per change of the file. Drawback: a file that changes between all polls is never applied. Runs on a single
+ * thread other than the event loop.
  */
 public final class ListFile {
     private final Path file;
     private final Function<Path, Optional<ServerList>> reader;
     private final Consumer<ServerList> onList;
-    private String seen = "";
-    private String taken = "";
+    private String lastState = "";
+    private String appliedState = "";
 
-    /** {@code reader}: the list in the file, or nothing, with the reason said, where it is at fault. */
+    /** {@code reader}: returns the list in the file, or nothing if it is invalid, which the reader logs. */
     public ListFile(Path file, Function<Path, Optional<ServerList>> reader, Consumer<ServerList> onList) {
         this.file = file;
         this.reader = reader;
         this.onList = onList;
     }
 
-    /** Looks once whether there is something new; to be called again and again. */
-    public void look() {
+    /** Checks the file once for a change; to be called periodically. */
+    public void poll() {
         String state = state();
-        boolean still = state.equals(seen);
-        seen = state;
-        if (!still || state.equals(taken)) {
+        boolean unchanged = state.equals(lastState);
+        lastState = state;
+        if (!unchanged || state.equals(appliedState)) {
             return;
         }
-        taken = state;
+        appliedState = state;
         Optional<ServerList> roster = reader.apply(file);
         if (!state.equals(state())) {
-            // It changed under the reader's eyes.
-            taken = "";
+            // The file changed while it was read.
+            appliedState = "";
             return;
         }
-        roster.ifPresentOrElse(onList, () -> Log.line("list file " + file + ": the list taken before stays"));
+        roster.ifPresentOrElse(onList, () -> Log.line("list file " + file + ": the previous list stays in use"));
     }
 
-    /** Reads it now, whether or not it stands still: for a start, where there is no list before. */
+    /** Reads the file immediately, even if it may be changing; for the start, when there is no previous list. */
     public void readNow() {
-        seen = state();
-        taken = seen;
+        lastState = state();
+        appliedState = lastState;
         reader.apply(file).ifPresent(onList);
     }
 
--- a/src/main/java/onyxpaddle/membership/ListWatch.java
+++ b/src/main/java/onyxpaddle/membership/ListWatch.java
@@ -3,158 +3,159 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Which version of the list a node holds, what it asks discovery for next, which answers count, and when it calls again
- * after one that did not. Does no I/O; all nodes run it, so calls that fail together come back spread and ever rarer.
+ * The state of a node's watch of the list of servers: its version, what to request next, which answers to accept, and the back-off after
+ * failed calls. Does no I/O. All nodes run it, so after a common failure their calls are spread out and become less frequent.
  */
 final class ListWatch {
-    /** The first pause after a failure, in milliseconds; within the 200 ms that a watch goes on. */
+    /** The longest pause after the first failure, in milliseconds; less than the 200 ms within which a watch must be renewed. */
     private static final int FIRST_PAUSE_MS = 100;
-    /** Where discovery is asked, the module says when to call again. */
-    static final int MODULE = -1;
+    /** With a central discovery the balancer decides when to call again. */
+    static final int BALANCER_DECIDES = -1;
     /**
-     * Failed calls in a row, silent or broken off, that are made good at once where discovery is asked; from then on, and
-     * where it turns a call away, the module says when. Guards against rule 3's time, in which two silent calls just fit,
-     * being spent on a pause; does harm where silence is how an overbooked discovery fails: two calls too many a node.
+     * With a central discovery: the number of consecutive calls that timed out or broke off after which the node itself calls again,
+     * soon; after further ones, and if discovery refuses a call, the balancer decides when to call again. Guards against spending the 6 s
+     * for the delivery of a change, in which two unanswered calls just fit, on a pause. Drawback: if an overloaded discovery fails by not
+     * answering, each node makes two calls too many.
      */
-    private static final int SOON = 2;
-    /** See {@link #patienceMs}. */
-    private static final int LONGEST_PAUSE_MS = 1000;
-    /** How long a call may wait for news. */
+    private static final int FAST_RETRIES = 2;
+    /** See {@link #firstByteTimeoutMs}. */
+    private static final int MAX_PAUSE_MS = 1000;
+    /** How long a call may wait for a change. */
     private static final int WAIT_MS = 2000;
-    /** How long after its wait an answer may begin, where an agent on the node's own machine gives it. */
-    private static final int LATE_MS = 800;
-    /** The same for a call without a wait where one discovery works through the calls of all nodes in turn. */
-    private static final int IN_TURN_MS = 1500;
-    /** How long after the latest moment at which it may begin an answer is whole. */
-    private static final int REST_MS = 700;
+    /** Time-out from the end of the wait to the first byte of the answer, for an agent on the node's own machine. */
+    private static final int FIRST_BYTE_MARGIN_MS = 800;
+    /** The same for a call without a wait to a central discovery, which processes the calls of all nodes one after the other. */
+    private static final int CENTRAL_FIRST_BYTE_MARGIN_MS = 1500;
+    /** Time-out from the latest first byte to the end of the answer. */
+    private static final int BODY_MARGIN_MS = 700;
 
     private final RandomGenerator random;
-    /** Discovery is one service that all nodes ask; else each node has an agent of its own, to which lists are pushed. */
-    private final boolean asked;
+    /** Discovery is one service for all nodes; otherwise each node has an agent of its own, to which lists are pushed. */
+    private final boolean central;
     private long seq;
-    /** The version held is in doubt: the next call asks for the whole list. */
-    private boolean lost;
-    /** Any version counts: discovery is another one, whose numbers are its own. */
-    private boolean anew;
-    private boolean heard;
-    private boolean holdsAny;
+    /** The current version is in doubt: the next call requests the full list. */
+    private boolean needsFullList;
+    /** Any version is accepted: discovery has been replaced by one with independent version numbers. */
+    private boolean versionReset;
+    private boolean hasAccepted;
+    private boolean hasServers;
     private int failures;
-    /** The version of a whole list that was older than the one held; -1 where the last answer was none. */
-    private long wentBackTo = -1;
+    /** The version of the last answer if it was a full list older than the current one; otherwise -1. */
+    private long olderVersion = -1;
 
-    /** {@code seq}: the version held at the start; {@code holdsAny}: whether that names a server. */
-    ListWatch(boolean asked, long seq, boolean holdsAny, RandomGenerator random) {
-        this.asked = asked;
+    /** {@code seq}: the version at the start; {@code hasServers}: whether that list has servers. */
+    ListWatch(boolean central, long seq, boolean hasServers, RandomGenerator random) {
+        this.central = central;
         this.seq = seq;
-        this.holdsAny = holdsAny;
+        this.hasServers = hasServers;
         this.random = random;
     }
 
-    /** The whole list is asked for; otherwise what came after {@link #seq}. */
-    boolean asksForAll() {
-        return lost;
+    /** Whether to request the full list, rather than the changes after {@link #seq}. */
+    boolean needsFullList() {
+        return needsFullList;
     }
 
     /**
-     * How long discovery may wait for news before it answers the next call, in milliseconds. A node that starts is of use once it
-     * knows that its list is not old, and after a call that failed something may have been missed: neither waits.
+     * How long discovery may wait for a change before it answers the next call, in milliseconds. There is no wait at the start, as a node
+     * is not ready before it knows that its list is current, nor after a failed call, which may have missed a change.
      */
     int waitMs() {
-        return lost || !heard || failures > 0 ? 0 : WAIT_MS;
+        return needsFullList || !hasAccepted || failures > 0 ? 0 : WAIT_MS;
     }
 
     /**
-     * How long the next call waits for the first byte of its answer, in milliseconds.
+     * Time-out of the next call for the first byte of its answer, in milliseconds.
      *
-     * <p>Whatever went wrong with calls before, a change counts as told 6 s after discovery had it and could be reached. Calls that
-     * fail are one row with one time, not each with a time of its own: only the first may have waited for news. After a silent watch
-     * and two further silent calls the next goes out within 5.1 s where each node has an agent, after one further within 4.6 s where
-     * discovery is asked; and from any moment at which it can be reached again the call that was out then and the pause after it
-     * take 3.6 s at most. It does harm where a sound discovery takes longer than this to begin.
+     * <p>A change counts as delivered 6 s after discovery has it and is reachable, whatever failed before. This time covers a whole row
+     * of failed calls, of which only the first may have waited for a change. After a watch and two further calls without an answer the
+     * next call is made within 5.1 s with an agent on each node; with a central discovery, after a watch and one further call, within
+     * 4.6 s. From the moment at which discovery is reachable again, the call in progress and the pause after it take 3.6 s at most.
+     * Drawback: calls to a healthy discovery that takes longer than this to begin its answer fail.
      */
-    int patienceMs() {
+    int firstByteTimeoutMs() {
         int wait = waitMs();
-        return wait + (asked && wait == 0 ? IN_TURN_MS : LATE_MS);
+        return wait + (central && wait == 0 ? CENTRAL_FIRST_BYTE_MARGIN_MS : FIRST_BYTE_MARGIN_MS);
     }
 
-    /** How long after the next call its answer is whole, or counts as none, in milliseconds. */
-    int wholeByMs() {
-        return patienceMs() + REST_MS;
+    /** Time-out of the next call for its whole answer, in milliseconds. */
+    int totalTimeoutMs() {
+        return firstByteTimeoutMs() + BODY_MARGIN_MS;
     }
 
     long seq() {
         return seq;
     }
 
-    /** Whether a list has counted since the start. */
-    boolean heard() {
-        return heard;
+    /** Whether a list has been accepted since the start. */
+    boolean hasAccepted() {
+        return hasAccepted;
     }
 
-    /** Failed calls since the last list that counted. */
+    /** Failed calls since the last accepted list. */
     int failures() {
         return failures;
     }
 
-    /** The next answer comes from another discovery. */
-    void anew() {
-        lost = true;
-        anew = true;
+    /** To be called when discovery is replaced by another one. */
+    void resetVersion() {
+        needsFullList = true;
+        versionReset = true;
     }
 
-    /** An answer could not be read, so it is not known what it had to tell. */
-    void unreadable() {
-        lost = true;
+    /** An answer could not be parsed, so a change may have been missed. */
+    void markUnreadable() {
+        needsFullList = true;
     }
 
     /**
-     * Judges a list that was read whole: null if it counts, and then it is the one held; otherwise what is wrong with it,
-     * and the whole list is asked for next.
+     * Accepts or rejects a list. Returns null if it is accepted, and its version is then the current one; otherwise the fault, and the
+     * full list is requested next.
      */
-    String judge(boolean whole, long version, boolean empty) {
+    String accept(boolean whole, long version, boolean empty) {
         String fault = fault(whole, version, empty);
-        wentBackTo = fault != null && whole && !empty && version < seq ? version : -1;
+        olderVersion = fault != null && whole && !empty && version < seq ? version : -1;
         if (fault != null) {
-            lost = true;
+            needsFullList = true;
             return fault;
         }
         seq = version;
-        lost = false;
-        anew = false;
-        heard = true;
-        holdsAny |= !empty;
+        needsFullList = false;
+        versionReset = false;
+        hasAccepted = true;
+        hasServers |= !empty;
         failures = 0;
         return null;
     }
 
     private String fault(boolean whole, long version, boolean empty) {
         if (!whole) {
-            // Changes to a list that is not the one held say nothing; only a whole list does.
-            return lost || version < seq ? "changes to a list that is not held" : null;
+            // Changes apply to the current list only; otherwise a full list is needed.
+            return needsFullList || version < seq ? "changes to a list that this node does not have" : null;
         }
-        if (empty && holdsAny) {
-            // Guards against a discovery that has lost its own list; servers leave one by one, as gone. It does harm where
-            // a tier is really empty: calls go on to servers that refuse them.
-            return "a whole list without any server";
+        if (empty && hasServers) {
+            // Guards against a discovery that has lost its list; servers are removed one by one, as gone. Drawback: if a tier really is
+            // empty, requests still go to servers that refuse them.
+            return "a full list without servers";
         }
-        // Guards against an answer that is older than what was told, by which a draining server would be sent to again. A
-        // discovery that begins its numbers anew is believed when it says so twice.
-        boolean older = !anew && version < seq;
-        return older && (wentBackTo < 0 || version < wentBackTo) ? "a list older than the one held" : null;
+        // Guards against an outdated answer, by which a draining server would get requests again. A discovery that has restarted its
+        // version numbers is accepted when it sends an older list twice in a row.
+        boolean older = !versionReset && version < seq;
+        return older && (olderVersion < 0 || version < olderVersion) ? "a list older than the current one" : null;
     }
 
     /**
-     * A call brought nothing: how long to wait before the next, in milliseconds, or {@link #MODULE}. The pauses double, and each is
-     * drawn from the whole of its span ("full jitter"), since the calls of all nodes often fail in one moment.
+     * Counts a failed call and returns the pause before the next one in milliseconds, or {@link #BALANCER_DECIDES}. Exponential back-off
+     * with full jitter, as the calls of all nodes often fail at the same moment.
      *
-     * @param turnedAway discovery refused it, as one that has too much to do or is down
+     * @param refused discovery refused the call, being overloaded or down
      */
-    int failed(boolean turnedAway) {
-        if (asked && (turnedAway || failures >= SOON)) {
+    int backoffAfterFailure(boolean refused) {
+        if (central && (refused || failures >= FAST_RETRIES)) {
             failures++;
-            return MODULE;
+            return BALANCER_DECIDES;
         }
-        int span = Math.min(LONGEST_PAUSE_MS, FIRST_PAUSE_MS << Math.min(8, failures));
+        int span = Math.min(MAX_PAUSE_MS, FIRST_PAUSE_MS << Math.min(8, failures));
         failures++;
         return random.nextInt(span + 1);
     }
--- a/src/main/java/onyxpaddle/membership/RosterJson.java
+++ b/src/main/java/onyxpaddle/membership/RosterJson.java
@@ -14,7 +14,7 @@
 import onyxpaddle.node.ServerList;
 import onyxpaddle.node.ServerList.Host;
 
-/** Lists of servers as the platform's discovery words them. */
+/** Parses lists of servers in the format of the platform's discovery. */
 public final class RosterJson {
     public static final JsonFactory JSON = new JsonFactory();
     private static final Map<String, ServerState> STATES = Map.of("ready", ServerState.READY,
@@ -34,7 +34,7 @@
         }
     }
 
-    /** Reads the object that the parser stands on; anything that is not a whole, sound list is an error. */
+    /** Reads the parser's current object; throws if it is not a complete and valid list. */
     public static ServerList read(JsonParser p) throws IOException {
         long seq = -1;
         boolean whole = false;
@@ -51,7 +51,7 @@
             }
         }
         if (seq < 0 || hosts == null) {
-            throw new IOException("list: no seq or no hosts");
+            throw new IOException("list: seq or hosts missing");
         }
         return new ServerList(seq, whole, hosts);
     }
@@ -76,8 +76,8 @@
         expect(p, JsonToken.START_OBJECT);
         while (p.nextToken() != JsonToken.END_OBJECT) {
             String name = p.currentName();
-            boolean given = p.nextToken() != JsonToken.VALUE_NULL;
-            switch (given ? name : "") {
+            boolean present = p.nextToken() != JsonToken.VALUE_NULL;
+            switch (present ? name : "") {
                 case "host" -> id = p.getText();
                 case "dial" -> dial = p.getText();
                 case "site" -> site = p.getText();
@@ -89,7 +89,7 @@
             }
         }
         if (id == null || id.isEmpty() || state == null || dial == null && state != ServerState.GONE) {
-            throw new IOException("list: an entry lacks host, dial or health");
+            throw new IOException("list: an entry lacks a valid host, dial or health");
         }
         return new Host(new ServerEntry(id, site, block, state, share, Clock.ofMillis(born)),
             dial == null ? null : Addresses.parse(dial));
@@ -97,7 +97,7 @@
 
     private static void expect(JsonParser p, JsonToken token) throws IOException {
         if (p.currentToken() != token) {
-            throw new IOException("list: expected " + token + ", not " + p.currentToken());
+            throw new IOException("list: expected " + token + ", got " + p.currentToken());
         }
     }
 }
--- a/src/main/java/onyxpaddle/scale/ProductionClient.java
+++ b/src/main/java/onyxpaddle/scale/ProductionClient.java
@@ -9,7 +9,7 @@
         if (asked) {
             discovery.start();
         } else {
-            discovery.startAnew();
+            discovery.restart();
         }
     }
 
--- a/src/main/java/onyxpaddle/serve/BgpAnnouncer.java
+++ b/src/main/java/onyxpaddle/serve/BgpAnnouncer.java
@@ -39,89 +39,89 @@
 import onyxpaddle.node.RequestCounts;
 
 /**
- * Ties service addresses to what the node sees of its pools: looks some times a second, and tells the speaker how each address
- * stands. Whether the node drains is {@link NodeState}'s word, here as at the door.
+ * Derives the status of each announced service address from the health of its pools: polls the pools several times a second and
+ * reports the status to the BGP speaker. Whether the node is draining is read from {@link NodeState}, as for the listeners.
  */
 final class BgpAnnouncer {
-    private static final long LOOK_MS = 250;
-    /** An emptied node is one that has had nothing out for so long: routers still send while they learn of the drain. */
-    private static final long QUIET = 1_000_000_000L;
+    private static final long POLL_MS = 250;
+    /** Time without requests in flight after which a node counts as empty: routers go on sending until they learn of the drain. */
+    private static final long EMPTY_AFTER = 1_000_000_000L;
     private static final long IDLE_HOLD = 1_000_000_000L;
-    private static final long MOST_IDLE_HOLD = 120_000_000_000L;
+    private static final long MAX_IDLE_HOLD = 120_000_000_000L;
 
-    /** A pool's health over the dispatchers that it has had: counts only grow, whatever a reload replaces. */
-    private static final class Watched {
+    /** A pool's health across reloads: counts are summed over the dispatchers the pool has had, so they never decrease. */
+    private static final class MonitoredPool {
         private final ServiceHealth health;
-        private RunningPool unit;
-        private final long[] before = new long[RequestCounts.RequestResult.values().length];
+        private RunningPool pool;
+        private final long[] retiredCounts = new long[RequestCounts.RequestResult.values().length];
 
-        private Watched(ServiceHealth health) {
+        private MonitoredPool(ServiceHealth health) {
             this.health = health;
         }
 
-        private long count(RequestCounts.RequestResult how) {
-            return before[how.ordinal()] + unit.dispatcher.ended(how);
+        private long count(RequestCounts.RequestResult end) {
+            return retiredCounts[end.ordinal()] + pool.dispatcher.ended(end);
         }
 
-        private void is(RunningPool now) {
-            if (unit != null && unit != now) {
-                for (RequestCounts.RequestResult how : RequestCounts.RequestResult.values()) {
-                    before[how.ordinal()] += unit.dispatcher.ended(how);
+        private void setPool(RunningPool current) {
+            if (pool != null && pool != current) {
+                for (RequestCounts.RequestResult end : RequestCounts.RequestResult.values()) {
+                    retiredCounts[end.ordinal()] += pool.dispatcher.ended(end);
                 }
             }
-            unit = now;
+            pool = current;
         }
     }
 
-    private final Lifecycle life;
+    private final Lifecycle lifecycle;
     private final Supplier<Map<String, RunningPool>> pools;
-    private final Supplier<List<RunningPool>> leaving;
+    private final Supplier<List<RunningPool>> retiredPools;
     private final Speaker speaker;
-    private final Map<String, Map<String, Watched>> watched = new HashMap<>();
-    private final Map<String, String> told = new HashMap<>();
-    private final Map<String, String> whys = new HashMap<>();
+    private final Map<String, Map<String, MonitoredPool>> monitoredPools = new HashMap<>();
+    private final Map<String, String> lastStatus = new HashMap<>();
+    private final Map<String, String> reasons = new HashMap<>();
     private BgpConfig config = new BgpConfig(0, 0, null, Map.of(), Map.of());
-    private Future<?> looking;
-    private long lookedAt;
-    private long busyAt;
+    private Future<?> pollTask;
+    private long lastPollAt;
+    private long lastBusyAt;
 
-    BgpAnnouncer(Lifecycle life, Supplier<Map<String, RunningPool>> pools, Supplier<List<RunningPool>> leaving, long seed) {
-        this.life = life;
+    BgpAnnouncer(Lifecycle lifecycle, Supplier<Map<String, RunningPool>> pools, Supplier<List<RunningPool>> retiredPools, long seed) {
+        this.lifecycle = lifecycle;
         this.pools = pools;
-        this.leaving = leaving;
-        speaker = new Speaker(life.loop, life.allocator, life.clock, seed);
-        lookedAt = life.clock.now();
-        looking = life.loop.scheduleWithFixedDelay(this::look, LOOK_MS, LOOK_MS, TimeUnit.MILLISECONDS);
+        this.retiredPools = retiredPools;
+        speaker = new Speaker(lifecycle.loop, lifecycle.allocator, lifecycle.clock, seed);
+        lastPollAt = lifecycle.clock.now();
+        pollTask = lifecycle.loop.scheduleWithFixedDelay(this::poll, POLL_MS, POLL_MS, TimeUnit.MILLISECONDS);
     }
 
     // ---- configuration ----
 
-    /** Moves to another configuration: what is the same in both goes on untouched. */
-    void use(BgpConfig next) {
-        boolean anew = config.as() != next.as() || config.identifier() != next.identifier();
+    /** Switches to another configuration; peers and addresses that are equal in both are not touched. */
+    void apply(BgpConfig next) {
+        boolean identityChanged = config.as() != next.as() || config.identifier() != next.identifier();
         for (Peer peer : config.peers().values()) {
-            if (anew || !peer.equals(next.peers().get(peer.name()))) {
+            if (identityChanged || !peer.equals(next.peers().get(peer.name()))) {
                 speaker.remove(peer.name());
             }
         }
         for (Service service : config.addresses().values()) {
             if (!service.equals(next.addresses().get(service.name()))) {
                 speaker.removeAddress(service.name());
-                watched.remove(service.name());
-                told.remove(service.name());
-                whys.remove(service.name());
+                monitoredPools.remove(service.name());
+                lastStatus.remove(service.name());
+                reasons.remove(service.name());
             }
         }
         for (Service service : next.addresses().values()) {
             if (!service.equals(config.addresses().get(service.name()))) {
-                speaker.add(service.name(), new AnnouncePolicy(terms(service), life.clock.now()));
+                speaker.add(service.name(), new AnnouncePolicy(terms(service), lifecycle.clock.now()));
             }
         }
         if (next.listen() != null && !next.listen().equals(config.listen())) {
             listen(next);
         }
         for (Peer peer : next.peers().values()) {
-            if (anew || !peer.equals(config.peers().get(peer.name()))) {
+            if (identityChanged || !peer.equals(config.peers().get(peer.name()))) {
                 speaker.add(terms(next, peer), 0);
             }
         }
@@ -130,7 +130,7 @@
 
     private void listen(BgpConfig next) {
         ChannelFuture bound = speaker.listen(Addresses.of(next.listen().host(), next.listen().port()));
-        bound.addListener(f -> Log.line(f.isSuccess() ? "bgp: listens on " + next.listen()
+        bound.addListener(f -> Log.line(f.isSuccess() ? "bgp: listening on " + next.listen()
             : "bgp: cannot listen on " + next.listen() + ": " + f.cause().getMessage()));
     }
 
@@ -146,78 +146,79 @@
 
     private static Speaker.PeerTerms terms(BgpConfig config, Peer peer) {
         Fsm.Terms fsm = new Fsm.Terms(config.as(), peer.as(), config.identifier(), peer.holdTime(), peer.connectRetry(), IDLE_HOLD,
-            MOST_IDLE_HOLD, peer.passive());
+            MAX_IDLE_HOLD, peer.passive());
         try {
             InetSocketAddress at = Addresses.of(peer.at().host(), peer.at().port());
             return new Speaker.PeerTerms(peer.name(), at, peer.local() == null ? null : InetAddress.getByAddress(Ip.parse(peer.local())),
                 fsm, peer.nextHop4() == null ? null : Ip.parse(peer.nextHop4()), peer.nextHop6() == null ? null : Ip.parse(peer.nextHop6()),
                 peer.mostPrefixes());
         } catch (UnknownHostException e) {
-            throw new IllegalStateException("an address that was checked: " + peer.local(), e);
+            throw new IllegalStateException("invalid local address in a validated configuration: " + peer.local(), e);
         }
     }
 
-    // ---- what is seen ----
+    // ---- health ----
 
-    private void look() {
-        long now = life.clock.now();
-        long lag = Math.max(0, now - lookedAt - LOOK_MS * 1_000_000L);
-        lookedAt = now;
-        boolean draining = life.state.phase() != Phase.SERVING;
+    private void poll() {
+        long now = lifecycle.clock.now();
+        long lag = Math.max(0, now - lastPollAt - POLL_MS * 1_000_000L);
+        lastPollAt = now;
+        boolean draining = lifecycle.state.phase() != Phase.SERVING;
         if (busy()) {
-            busyAt = now;
+            lastBusyAt = now;
         }
-        boolean empty = now - busyAt >= QUIET;
+        boolean empty = now - lastBusyAt >= EMPTY_AFTER;
         for (Service service : config.addresses().values()) {
             Verdict verdict = verdict(service, lag, now);
-            say(service.name(), verdict, draining);
+            logChange(service.name(), verdict, draining);
             speaker.stands(service.name(), new Standing(verdict.status(), draining, empty));
         }
     }
 
     private boolean busy() {
-        for (RunningPool unit : pools.get().values()) {
-            if (unit.dispatcher.unanswered() > 0) {
+        for (RunningPool pool : pools.get().values()) {
+            if (pool.dispatcher.unanswered() > 0) {
                 return true;
             }
         }
-        return leaving.get().stream().anyMatch(unit -> unit.dispatcher.unanswered() > 0);
+        return retiredPools.get().stream().anyMatch(pool -> pool.dispatcher.unanswered() > 0);
     }
 
     private Verdict verdict(Service service, long lag, long now) {
-        Map<String, Watched> mine = watched.computeIfAbsent(service.name(), n -> new LinkedHashMap<>());
+        Map<String, MonitoredPool> ofService = monitoredPools.computeIfAbsent(service.name(), n -> new LinkedHashMap<>());
         List<Verdict> verdicts = new ArrayList<>();
         for (String name : service.pools()) {
-            RunningPool unit = pools.get().get(name);
-            if (unit == null) {
+            RunningPool pool = pools.get().get(name);
+            if (pool == null) {
                 continue;
             }
-            Watched pool = mine.computeIfAbsent(name, n -> new Watched(new ServiceHealth(terms(service.degradedBelow(),
-                service.downBelow(), service.dwell()), now)));
-            pool.is(unit);
-            onyxpaddle.BalancerApi.FleetSummary fleet = unit.dispatcher.fleet();
-            Verdict of = pool.health.observe(new Seen(unit.ready(), fleet.listed(), fleet.listed() - fleet.avoided(),
-                pool.count(RequestCounts.RequestResult.SUCCESS), pool.count(RequestCounts.RequestResult.BUSY), pool.count(RequestCounts.RequestResult.FAILURE), lag), now);
-            verdicts.add(new Verdict(of.status(), "pool " + name + ": " + of.why(), of.since()));
+            MonitoredPool monitored = ofService.computeIfAbsent(name, n -> new MonitoredPool(new ServiceHealth(
+                terms(service.degradedBelow(), service.downBelow(), service.dwell()), now)));
+            monitored.setPool(pool);
+            onyxpaddle.BalancerApi.FleetSummary fleet = pool.dispatcher.fleet();
+            Verdict verdict = monitored.health.observe(new Seen(pool.ready(), fleet.listed(), fleet.listed() - fleet.avoided(),
+                monitored.count(RequestCounts.RequestResult.SUCCESS), monitored.count(RequestCounts.RequestResult.BUSY), monitored.count(RequestCounts.RequestResult.FAILURE), lag), now);
+            verdicts.add(new Verdict(verdict.status(), "pool " + name + ": " + verdict.why(), verdict.since()));
         }
         return ServiceHealth.combined(verdicts, service.any());
     }
 
     private static ServiceHealth.Terms terms(double degradedBelow, double downBelow, long dwell) {
         ServiceHealth.Terms usual = ServiceHealth.Terms.USUAL;
-        return new ServiceHealth.Terms(degradedBelow, downBelow, usual.margin(), usual.leastSeen(), usual.window(), dwell, usual.worstLag());
+        return new ServiceHealth.Terms(degradedBelow, downBelow, usual.margin(), usual.leastSeen(), usual.window(), dwell,
+            usual.worstLag());
     }
 
-    /** A line where an address stands otherwise than at the last look. */
-    private void say(String address, Verdict verdict, boolean draining) {
-        whys.put(address, verdict.why());
+    /** Logs a line where the status of an address has changed since the last poll. */
+    private void logChange(String address, Verdict verdict, boolean draining) {
+        reasons.put(address, verdict.why());
         String text = (draining ? "draining" : verdict.status().name().toLowerCase(Locale.ROOT));
-        if (!text.equals(told.put(address, text))) {
+        if (!text.equals(lastStatus.put(address, text))) {
             Log.line("bgp: service " + address + " is " + text + (draining ? "" : ": " + verdict.why()));
         }
     }
 
-    // ---- for on-call staff ----
+    // ---- report ----
 
     /** Peers and addresses, as JSON. */
     String report() {
@@ -240,9 +241,9 @@
                 g.writeStartObject();
                 g.writeStringField("name", address.getKey());
                 g.writeStringField("announced", address.getValue().told());
-                g.writeStringField("service", told.getOrDefault(address.getKey(), "not seen yet"));
-                g.writeStringField("why", whys.getOrDefault(address.getKey(), ""));
-                g.writeNumberField("heldForMs", address.getValue().leftOfHold(life.clock.now()) / 1_000_000L);
+                g.writeStringField("service", lastStatus.getOrDefault(address.getKey(), "not seen yet"));
+                g.writeStringField("why", reasons.getOrDefault(address.getKey(), ""));
+                g.writeNumberField("heldForMs", address.getValue().leftOfHold(lifecycle.clock.now()) / 1_000_000L);
                 g.writeArrayFieldStart("prefixes");
                 for (Prefix prefix : address.getValue().prefixes()) {
                     g.writeString(prefix.toString());
@@ -259,11 +260,11 @@
         return text.toString();
     }
 
-    // ---- end ----
+    // ---- shutdown ----
 
-    /** All that was taken is answered: withdraws, ends the sessions with a reason, and calls {@code done}. */
-    void end(Runnable done) {
-        looking.cancel(false);
+    /** To be called once all accepted requests are answered: withdraws, closes the sessions with a reason, then calls {@code done}. */
+    void stop(Runnable done) {
+        pollTask.cancel(false);
         config.addresses().keySet().forEach(name -> speaker.stands(name, new Standing(ServiceHealth.Status.DOWN, true, true)));
         speaker.stop(new Notification(ErrorCode.SHUTDOWN), done);
     }
--- a/src/main/java/onyxpaddle/serve/ConfigurationRefusedException.java
+++ b/src/main/java/onyxpaddle/serve/ConfigurationRefusedException.java
@@ -2,20 +2,20 @@
 
 import java.util.List;
 
-/** Neither what control processes tell nor the node's own file is a configuration by which a node can start. */
+/** A node cannot start, neither with the configuration of the control processes nor with its own file alone. */
 public final class ConfigurationRefusedException extends Exception {
     private static final long serialVersionUID = 1;
 
-    private final boolean faulty;
+    private final boolean invalid;
 
-    /** {@code why}: a line for each fault, at least one. */
-    ConfigurationRefusedException(List<String> why, boolean faulty) {
-        super(String.join("\n", why));
-        this.faulty = faulty;
+    /** {@code reasons}: a line for each fault, at least one. */
+    ConfigurationRefusedException(List<String> reasons, boolean invalid) {
+        super(String.join("\n", reasons));
+        this.invalid = invalid;
     }
 
-    /** Whether the configuration is at fault; else it is sound and can't be brought into force, as where a port is taken. */
-    public boolean faulty() {
-        return faulty;
+    /** Whether the configuration is invalid; otherwise it is valid but could not be applied, for example because a port is in use. */
+    public boolean invalid() {
+        return invalid;
     }
 }
--- a/src/main/java/onyxpaddle/serve/ConfigurationTarget.java
+++ b/src/main/java/onyxpaddle/serve/ConfigurationTarget.java
@@ -3,12 +3,12 @@
 import java.util.concurrent.CompletableFuture;
 import onyxpaddle.config.NodeConfig;
 
-/** What runs by the configurations that come: a node, or in measurements one without a data path. */
+/** What configurations are applied to: a node, or in measurements a stub without a data path. */
 public interface ConfigurationTarget {
     /**
-     * Moves to a configuration that was checked; called on the thread of {@link DistributedConfiguration}, one at a time.
+     * Switches to a validated configuration. Called on the worker thread of {@link DistributedConfiguration}, one call at a time.
      *
-     * @return done with null once it is in force, or with the reason why nothing was changed
+     * @return completes with null once the configuration is in force, or with the reason why nothing was changed
      */
     CompletableFuture<String> apply(NodeConfig config);
 }
--- a/src/main/java/onyxpaddle/serve/DistributedConfiguration.java
+++ b/src/main/java/onyxpaddle/serve/DistributedConfiguration.java
@@ -26,31 +26,34 @@
 import onyxpaddle.node.Log;
 
 /**
- * Brings the configuration of the control processes into force at one node: follows it, lays its entries over the node's own file,
- * checks the result as a whole and hands it to a {@link ConfigurationTarget}. What is refused changes nothing: the last good
- * configuration stays, and the next call reports version and first fault. Of several versions that come while one is being applied
- * only the newest is followed up.
+ * Applies the configuration of the control processes to one node: watches it, overlays its entries on the node's own file, validates
+ * the result as a whole and passes it to a {@link ConfigurationTarget}. A refused version changes nothing: the last good configuration
+ * stays in force, and the next call reports the version and its first fault. Of the versions that arrive while one is being applied
+ * only the newest is applied next.
  *
- * <p>Calls happen on the event loop; reading, merging, checking, applying and keeping on the worker, which runs one task at a time.
+ * <p>Calls are made on the event loop; reading, merging, validating, applying and caching run on the worker, one task at a time.
  */
 public final class DistributedConfiguration {
-    /** How long a start waits for the first answer before it goes by what was kept: two silent replicas and a third that answers. */
-    private static final int START_PATIENCE_MS = 3000;
-    private static final int MOST_FAULTS_LOGGED = 20;
+    /**
+     * How long a start waits for the first answer before it falls back to the cached configuration. Covers two replicas that do not
+     * answer and a third that does.
+     */
+    private static final int START_TIMEOUT_MS = 3000;
+    private static final int MAX_FAULTS_LOGGED = 20;
 
     /**
-     * What a node's configuration is made from.
+     * The local inputs of a node's configuration.
      *
      * @param subscription the node's name and its service
-     * @param base the node's own file as read
-     * @param folder from which the base and the entries name files
-     * @param machine against which limits are checked
-     * @param state the folder in which entries in force are kept; null to keep none
+     * @param base the node's own file, parsed
+     * @param folder the folder to which file names in the base and in the entries are relative
+     * @param machine the limits of the machine, against which configured limits are checked
+     * @param state the folder in which the entries in force are cached; null for no cache
      */
     public record Origin(Subscription subscription, Value base, Path folder, MachineLimits machine, Path state) {
     }
 
-    /** Where control processes are asked, and on which loop. */
+    /** The control processes to call, and the event loop to call them on. */
     public record Control(EventLoop loop, ByteBufAllocator allocator, List<InetSocketAddress> replicas) {
     }
 
@@ -60,27 +63,27 @@
     private final EventLoop loop;
     private final Executor worker;
     private final ConfigurationTarget target;
-    private final DistributedConfigurationCache keeping;
+    private final DistributedConfigurationCache cache;
     private final ConfigurationWatch watch;
-    private final CompletableFuture<Void> begun = new CompletableFuture<>();
+    private final CompletableFuture<Void> started = new CompletableFuture<>();
     private volatile ConfigurationStatus currentStatus = ConfigurationStatus.NONE;
 
-    // Of the loop.
-    private ConfigurationTable told = ConfigurationTable.EMPTY;
-    private boolean heard;
+    // Confined to the event loop.
+    private ConfigurationTable received = ConfigurationTable.EMPTY;
+    private boolean answered;
 
-    // Of the worker.
+    // Confined to the worker.
     private Value base;
-    private DistributedConfigurationCache.Kept kept;
-    /** What is to be brought into force, newer than what is being applied; null for nothing. */
-    private ConfigurationTable wanted;
+    private DistributedConfigurationCache.Cached cached;
+    /** The table to apply next, newer than the one being applied; null for none. */
+    private ConfigurationTable pending;
     private boolean applying;
-    /** The entries in force; null before the first, and as the base has changed since. */
+    /** The entries in force; null before the first, and after the base has changed. */
     private List<Entry> entriesInForce;
-    /** The entries that were refused last, by the base that holds; null where none were. */
-    private List<Entry> entriesRefused;
+    /** The entries that were last refused with the current base; null for none. */
+    private List<Entry> refusedEntries;
 
-    /** {@code worker}: runs one task at a time, in the order they come. */
+    /** {@code worker}: runs one task at a time, in the order of submission. */
     public DistributedConfiguration(Origin origin, Control control, Executor worker, ConfigurationTarget target) {
         this.subscription = origin.subscription();
         this.base = origin.base();
@@ -89,98 +92,100 @@
         this.loop = control.loop();
         this.worker = worker;
         this.target = target;
-        keeping = origin.state() == null ? null : new DistributedConfigurationCache(origin.state(), subscription);
+        cache = origin.state() == null ? null : new DistributedConfigurationCache(origin.state(), subscription);
         List<String> names = control.replicas().stream().map(at -> at.getAddress().getHostAddress() + ":" + at.getPort()).toList();
         ReplicaSelector selector = new ReplicaSelector(subscription.node(), names, ThreadLocalRandom.current());
         watch = new ConfigurationWatch(loop, control.allocator(), control.replicas(), selector,
-            "node=" + subscription.node() + "&service=" + subscription.service(), new Held());
+            "node=" + subscription.node() + "&service=" + subscription.service(), new TableHolder());
     }
 
     /**
-     * Begins. What comes is done once a first configuration is in force: of the control processes if one answers within 3 s, else the
-     * one that was kept, else the node's own file alone. It fails with a {@link ConfigurationRefusedException} where none of these can be.
+     * Starts instrument. The result completes once a first configuration is in force: the one of the control processes if one of them
+     * answers within 3 s, else the cached one, else the node's own file alone. It fails with a {@link ConfigurationRefusedException}
+     * if none of these can be applied.
      */
     public CompletableFuture<Void> start() {
-        work(() -> {
-            kept = keeping == null ? null : keeping.read();
-            ConfigurationTable from = kept == null ? ConfigurationTable.EMPTY : kept.table();
+        runOnWorker(() -> {
+            cached = cache == null ? null : cache.read();
+            ConfigurationTable from = cached == null ? ConfigurationTable.EMPTY : cached.table();
             loop.execute(() -> {
-                told = from;
+                received = from;
                 watch.start();
-                loop.schedule(this::startUnheard, START_PATIENCE_MS, TimeUnit.MILLISECONDS);
+                loop.schedule(this::startWithoutAnswer, START_TIMEOUT_MS, TimeUnit.MILLISECONDS);
             });
         });
-        return begun;
+        return started;
     }
 
-    /** Ends the following; what is in force stays. */
+    /** Stops instrument; the configuration in force stays. */
     public void stop() {
         watch.stop();
     }
 
-    /** How the node stands; from any thread. */
+    /** Thread-safe. */
     public ConfigurationStatus currentStatus() {
         return currentStatus;
     }
 
-    /** Takes another base, such as after SIGHUP, and lays the same entries over it; from any thread. */
-    public void rebase(Value fresh) {
-        work(() -> {
-            base = fresh;
+    /** Replaces the base, as after SIGHUP, and overlays the same entries on it. Thread-safe. */
+    public void rebase(Value newBase) {
+        runOnWorker(() -> {
+            base = newBase;
             entriesInForce = null;
-            entriesRefused = null;
+            refusedEntries = null;
         });
         loop.execute(() -> {
-            ConfigurationTable table = told;
-            work(() -> want(table));
+            ConfigurationTable table = received;
+            runOnWorker(() -> enqueue(table));
         });
     }
 
-    // ---- on the loop ----
+    // ---- on the event loop ----
 
-    private final class Held implements ConfigurationWatch.Receiver {
+    private final class TableHolder implements ConfigurationWatch.Receiver {
         @Override
         public ConfigurationVersion currentVersion() {
-            return told.version();
+            return received.version();
         }
 
         @Override
         public ConfigurationTable.Outcome receive(Update update) {
-            ConfigurationTable.ApplyResult applied = told.apply(update);
-            boolean counts = applied.outcome() == ConfigurationTable.Outcome.APPLIED
+            ConfigurationTable.ApplyResult applied = received.apply(update);
+            boolean accepted = applied.outcome() == ConfigurationTable.Outcome.APPLIED
                 || applied.outcome() == ConfigurationTable.Outcome.UNCHANGED;
-            if (counts && (!heard || applied.outcome() == ConfigurationTable.Outcome.APPLIED)) {
-                heard = true;
-                told = applied.table();
-                work(() -> want(applied.table()));
+            if (accepted && (!answered || applied.outcome() == ConfigurationTable.Outcome.APPLIED)) {
+                answered = true;
+                received = applied.table();
+                runOnWorker(() -> enqueue(applied.table()));
             }
             return applied.outcome();
         }
 
         @Override
         public String reportParameters() {
-            return currentStatus.parameters();
+            return currentStatus.toQueryParameters();
         }
     }
 
-    private void startUnheard() {
-        if (heard) {
+    private void startWithoutAnswer() {
+        if (answered) {
             return;
         }
-        ConfigurationTable table = told;
-        work(() -> {
-            if (!applying && entriesInForce == null && entriesRefused == null) {
-                Log.line("configuration: no control process answers; starting with " + (kept == null ? "this node's file alone"
-                    : table.version() + " as kept " + TimeUnit.MILLISECONDS.toSeconds(System.currentTimeMillis() - kept.at()) + " s ago"));
-                want(table);
+        ConfigurationTable table = received;
+        runOnWorker(() -> {
+            if (!applying && entriesInForce == null && refusedEntries == null) {
+                Log.line("configuration: no control process answers; starting with " + (cached == null ? "this node's file alone"
+                    : table.version() + " as kept " + TimeUnit.MILLISECONDS.toSeconds(System.currentTimeMillis() - cached.writtenAt())
+                        + " s ago"));
+                enqueue(table);
             }
         });
     }
 
     // ---- on the worker ----
 
-    /** Runs a task there; one that fails by a mistake of this program is told to the log, and the next are run. */
-    private void work(Runnable task) {
+    /** Runs a task on the worker. An unexpected exception is logged and does not affect later tasks. */
+    private void runOnWorker(Runnable task) {
         worker.execute(() -> {
             try {
                 task.run();
@@ -190,61 +195,61 @@
         });
     }
 
-    private void want(ConfigurationTable table) {
-        if (wanted == null || !wanted.version().isAfter(table.version())) {
-            wanted = table;
+    private void enqueue(ConfigurationTable table) {
+        if (pending == null || !pending.version().isAfter(table.version())) {
+            pending = table;
         }
-        proceed();
+        applyPending();
     }
 
-    private void proceed() {
-        if (applying || wanted == null) {
+    private void applyPending() {
+        if (applying || pending == null) {
             return;
         }
-        ConfigurationTable table = wanted;
-        wanted = null;
+        ConfigurationTable table = pending;
+        pending = null;
         List<Entry> entries = table.entries(subscription);
         if (entries.equals(entriesInForce)) {
-            // Nothing that concerns this node has changed.
+            // No entry of subscription to this node has changed.
             currentStatus = ConfigurationStatus.inForce(table.version());
-        } else if (!entries.equals(entriesRefused)) {
-            bringIntoForce(table, entries);
+        } else if (!entries.equals(refusedEntries)) {
+            apply(table, entries);
         }
     }
 
-    private void bringIntoForce(ConfigurationTable table, List<Entry> entries) {
+    private void apply(ConfigurationTable table, List<Entry> entries) {
         Faults faults = new Faults();
         NodeConfig config = read(entries, faults);
         if (config == null) {
-            Log.line("configuration: " + told(table) + " is refused, as it is at fault:");
-            List<String> why = ConfigurationOverlay.entryFaultsFirst(entries, faults.list()).stream().limit(MOST_FAULTS_LOGGED)
+            Log.line("configuration: " + describe(table) + " is refused; faults:");
+            List<String> reasons = ConfigurationOverlay.entryFaultsFirst(entries, faults.list()).stream().limit(MAX_FAULTS_LOGGED)
                 .map(Fault::toString).toList();
-            why.forEach(Log::line);
-            refused(table, entries, why, true);
-            proceed();
+            reasons.forEach(Log::line);
+            refused(table, entries, reasons, true);
+            applyPending();
             return;
         }
         applying = true;
-        Value by = base;
+        Value appliedBase = base;
         target.apply(config).whenCompleteAsync((failure, thrown) -> {
             applying = false;
-            String wrong = thrown == null ? failure : String.valueOf(thrown.getMessage());
-            if (wrong == null) {
-                entriesInForce = by == base ? entries : null;
+            String reason = thrown == null ? failure : String.valueOf(thrown.getMessage());
+            if (reason == null) {
+                entriesInForce = appliedBase == base ? entries : null;
                 inForce(table);
             } else {
-                Log.line("configuration: " + told(table) + " changes nothing: " + wrong);
-                refused(table, entries, List.of(wrong), false);
+                Log.line("configuration: " + describe(table) + " could not be applied, nothing is changed: " + reason);
+                refused(table, entries, List.of(reason), false);
             }
-            proceed();
+            applyPending();
         }, worker);
     }
 
-    private static String told(ConfigurationTable table) {
+    private static String describe(ConfigurationTable table) {
         return table.version().equals(ConfigurationVersion.NONE) ? "this node's file alone" : table.version().toString();
     }
 
-    /** The base with the entries over it; null where it is at fault. */
+    /** The base with the entries overlaid; null if the result is invalid. */
     private NodeConfig read(List<Entry> entries, Faults faults) {
         Value merged = ConfigurationOverlay.apply(base, entries, faults);
         NodeConfig config = NodeConfigReader.read(merged, folder, machine, faults);
@@ -256,37 +261,37 @@
     }
 
     private void inForce(ConfigurationTable table) {
-        Log.line("configuration: " + told(table) + " is in force");
-        currentStatus = currentStatus.nowInForce(table.version());
-        if (keeping != null && !table.version().equals(ConfigurationVersion.NONE)) {
-            keeping.write(table, System.currentTimeMillis());
+        Log.line("configuration: " + describe(table) + " is in force");
+        currentStatus = currentStatus.withInForce(table.version());
+        if (cache != null && !table.version().equals(ConfigurationVersion.NONE)) {
+            cache.write(table, System.currentTimeMillis());
         }
-        kept = null;
-        begun.complete(null);
+        cached = null;
+        started.complete(null);
     }
 
-    private void refused(ConfigurationTable table, List<Entry> entries, List<String> why, boolean faulty) {
-        entriesRefused = entries;
-        currentStatus = currentStatus.nowRefused(table.version(), why.get(0));
-        if (!begun.isDone()) {
-            fallBack(why, faulty);
+    private void refused(ConfigurationTable table, List<Entry> entries, List<String> reasons, boolean invalid) {
+        refusedEntries = entries;
+        currentStatus = currentStatus.withRefused(table.version(), reasons.get(0));
+        if (!started.isDone()) {
+            fallBack(reasons, invalid);
         }
     }
 
-    /** At a start there is no last good configuration that stays: what was kept is tried next, then the node's file alone. */
-    private void fallBack(List<String> why, boolean faulty) {
-        if (wanted != null) {
+    /** At a start there is no last good configuration to stay with: tries the cached entries next, then the node's file alone. */
+    private void fallBack(List<String> reasons, boolean invalid) {
+        if (pending != null) {
             return;
         }
-        if (kept != null && !kept.table().entries(subscription).equals(entriesRefused)) {
-            wanted = kept.table();
-            kept = null;
-            Log.line("configuration: starting with " + wanted.version() + " as kept");
-        } else if (!entriesRefused.isEmpty()) {
-            wanted = ConfigurationTable.EMPTY;
+        if (cached != null && !cached.table().entries(subscription).equals(refusedEntries)) {
+            pending = cached.table();
+            cached = null;
+            Log.line("configuration: starting with " + pending.version() + " as kept");
+        } else if (!refusedEntries.isEmpty()) {
+            pending = ConfigurationTable.EMPTY;
             Log.line("configuration: starting with this node's file alone");
         } else {
-            begun.completeExceptionally(new ConfigurationRefusedException(why, faulty));
+            started.completeExceptionally(new ConfigurationRefusedException(reasons, invalid));
         }
     }
 }
--- a/src/main/java/onyxpaddle/serve/DistributedConfigurationCache.java
+++ b/src/main/java/onyxpaddle/serve/DistributedConfigurationCache.java
@@ -13,69 +13,69 @@
 import onyxpaddle.node.Log;
 
 /**
- * The entries that were in force last, on disk, for a start without any control process. Written as a time (8 bytes, milliseconds since
- * 1970, for people alone) and an update. Reading and writing wait for the disk; one thread at a time.
+ * Caches the entries last in force on disk, for a start while no control process answers. The file holds a time (8 bytes, milliseconds
+ * since 1970, used in log lines only) and an update. Reads and writes block on the disk. Not thread-safe.
  */
 final class DistributedConfigurationCache {
     private final SnapshotFile file;
     private final Subscription subscription;
-    /** A write failed and none has gone well since; said once. */
-    private boolean failing;
+    /** The last write failed; only the first failure in a row is logged. */
+    private boolean writeFailing;
 
-    /** Entries, and when they were kept, in milliseconds since 1970. */
-    record Kept(ConfigurationTable table, long at) {
+    /** Entries, and when they were cached, in milliseconds since 1970. */
+    record Cached(ConfigurationTable table, long writtenAt) {
     }
 
-    /** In a folder of several nodes each has files of its own; so has a node beside another service, to which other entries belong. */
+    /** File names contain node and service, as several nodes may share a folder and the entries of subscription differ by service. */
     DistributedConfigurationCache(Path folder, Subscription subscription) {
         this.subscription = subscription;
         file = new SnapshotFile(folder, "configuration-" + subscription.node() + "--" + subscription.service());
     }
 
-    /** What was kept; null where nothing was, or nothing can be read, which the log says. */
-    Kept read() {
+    /** The cached entries; null if there are none or they are unreadable, which is logged. */
+    Cached read() {
         SnapshotFile.ReadResult found = file.read();
         if (found instanceof SnapshotFile.Intact sound) {
-            return decoded(sound.bytes());
+            return decode(sound.bytes());
         }
         if (found instanceof SnapshotFile.Fallback older) {
-            Log.line("configuration: of what was kept the newest is damaged, the one before is used: " + older.damage());
-            return decoded(older.bytes());
+            Log.line("configuration: the newest cache file is damaged, using the previous one: " + older.damage());
+            return decode(older.bytes());
         }
         if (found instanceof SnapshotFile.Corrupt torn) {
-            Log.line("configuration: what was kept is damaged and not used: " + torn.damage());
+            Log.line("configuration: the cache is damaged and ignored: " + torn.damage());
         }
         return null;
     }
 
-    private static Kept decoded(byte[] bytes) {
+    private static Cached decode(byte[] bytes) {
         if (bytes.length < Long.BYTES) {
-            Log.line("configuration: what was kept is too short, and not used");
+            Log.line("configuration: the cache file is truncated and ignored");
             return null;
         }
         try {
             Update update = UpdateJson.read(Arrays.copyOfRange(bytes, Long.BYTES, bytes.length));
-            return new Kept(ConfigurationTable.EMPTY.apply(update).table(), ByteBuffer.wrap(bytes).getLong());
+            return new Cached(ConfigurationTable.EMPTY.apply(update).table(), ByteBuffer.wrap(bytes).getLong());
         } catch (MalformedUpdateException e) {
-            Log.line("configuration: what was kept can't be read, and is not used: " + e.getMessage());
+            Log.line("configuration: the cache file cannot be parsed and is ignored: " + e.getMessage());
             return null;
         }
     }
 
-    /** Keeps a state in the place of the one before. A disk that refuses is told to the log; the node goes on. */
-    void write(ConfigurationTable table, long at) {
+    /** Replaces the cached entries. A failed write is logged and otherwise ignored. */
+    void write(ConfigurationTable table, long writtenAt) {
         byte[] json = UpdateJson.write(table.fullUpdate(subscription, 0));
         try {
-            file.write(ByteBuffer.allocate(Long.BYTES + json.length).putLong(at).put(json).array());
-            if (failing) {
-                Log.line("configuration: kept on disk again");
+            file.write(ByteBuffer.allocate(Long.BYTES + json.length).putLong(writtenAt).put(json).array());
+            if (writeFailing) {
+                Log.line("configuration: cache writes succeed again");
             }
-            failing = false;
+            writeFailing = false;
         } catch (IOException e) {
-            if (!failing) {
-                Log.line("configuration: " + table.version() + " is in force but can't be kept on disk: " + e.getMessage());
+            if (!writeFailing) {
+                Log.line("configuration: " + table.version() + " is in force but could not be written to the cache: " + e.getMessage());
             }
-            failing = true;
+            writeFailing = true;
         }
     }
 }
--- a/src/main/java/onyxpaddle/serve/DistributedNode.java
+++ b/src/main/java/onyxpaddle/serve/DistributedNode.java
@@ -25,13 +25,13 @@
 import onyxpaddle.node.SocketBuffers;
 
 /**
- * A sidecar whose file is laid under the entries of control processes. Calls and checks have two threads of their own, so that the
- * loop on which requests are served does nothing but take what was checked.
+ * A sidecar on whose file the entries of the control processes are overlaid. Calls to control processes and validation run on a thread
+ * each, so that the event loop that serves requests only applies validated configurations.
  */
 public final class DistributedNode implements ConfigurationTarget {
-    private static final int EXIT_CANNOT_RUN = 1;
+    private static final int EXIT_FAILURE = 1;
     private static final int EXIT_CONFIG = 78;
-    private static final int MOST_FAULTS_LOGGED = 20;
+    private static final int MAX_FAULTS_LOGGED = 20;
 
     private final HostPort admin;
     /** Null before the first configuration is in force. */
@@ -42,12 +42,12 @@
     }
 
     /**
-     * Runs a node until it is told to stop; SIGHUP reads the file again and lays the same entries over it.
+     * Runs a node until the process is terminated; SIGHUP rereads the file and overlays the same entries on it.
      *
-     * @param admin in place of the file's, null for that
-     * @param control where control processes listen, at least one
-     * @param service beside which the node install; empty for none
-     * @param state where entries in force are kept; null to keep none
+     * @param admin overrides the admin address of the file; null for no override
+     * @param control the addresses of the control processes, at least one
+     * @param service the service that the node is a sidecar of; empty for none
+     * @param state the folder in which the entries in force are cached; null for no cache
      */
     public static void main(Path file, HostPort admin, List<HostPort> control, String service, Path state) {
         Faults faults = new Faults();
@@ -66,20 +66,20 @@
             SighupHandler.install(() -> target.reload(file, configuration));
             Runtime.getRuntime().addShutdownHook(new Thread(target.node::drain, "drain"));
         } catch (ExecutionException e) {
-            boolean faulty = e.getCause() instanceof ConfigurationRefusedException refused && refused.faulty();
-            System.err.println((faulty ? "" : "lupinmount: cannot start: ") + e.getCause().getMessage());
-            System.exit(faulty ? EXIT_CONFIG : EXIT_CANNOT_RUN);
+            boolean invalid = e.getCause() instanceof ConfigurationRefusedException refused && refused.invalid();
+            System.err.println((invalid ? "" : "lupinmount: cannot start: ") + e.getCause().getMessage());
+            System.exit(invalid ? EXIT_CONFIG : EXIT_FAILURE);
         } catch (ReflectiveOperationException | InterruptedException e) {
             System.err.println("lupinmount: cannot start: " + e.getMessage());
-            System.exit(EXIT_CANNOT_RUN);
+            System.exit(EXIT_FAILURE);
         }
     }
 
-    /** Whose entries concern the node; null where the file does not name it. */
+    /** Which entries apply to the node; null if the file has no valid name. */
     private static Subscription subscription(Value base, String service, Faults faults) {
         String name = new View(base).text("name", Shape.Kind.NAME, null);
         if (name == null) {
-            faults.add(base.place(), "name", "is missing or is no name", "the node's name, by which its entries are found");
+            faults.add(base.place(), "name", "is missing or not a valid name", "the name of the node, which selects its entries");
             return null;
         }
         try {
@@ -105,15 +105,15 @@
         });
     }
 
-    /** The first one starts the node; the others change it. */
+    /** The first configuration starts the node, each later one changes it. */
     @Override
     public CompletableFuture<String> apply(NodeConfig config) {
-        NodeConfig wanted = admin == null ? config : config.withAdmin(admin);
+        NodeConfig effective = admin == null ? config : config.withAdmin(admin);
         if (node != null) {
-            return node.change(wanted).whenComplete((failure, thrown) -> node.reloaded(failure == null && thrown == null));
+            return node.change(effective).whenComplete((failure, thrown) -> node.reloaded(failure == null && thrown == null));
         }
         try {
-            node = Sidecar.start(wanted);
+            node = Sidecar.start(effective);
             return CompletableFuture.completedFuture(null);
         } catch (Exception e) {
             return CompletableFuture.completedFuture(String.valueOf(e.getMessage()));
@@ -125,7 +125,7 @@
         Value base = SourceFile.read(file, faults);
         if (base == null) {
             Log.line("reload: nothing is changed, as the file is at fault:");
-            faults.list().stream().limit(MOST_FAULTS_LOGGED).map(Fault::toString).forEach(Log::line);
+            faults.list().stream().limit(MAX_FAULTS_LOGGED).map(Fault::toString).forEach(Log::line);
             node.reloaded(false);
             return;
         }
--- a/src/main/java/onyxpaddle/serve/Lifecycle.java
+++ b/src/main/java/onyxpaddle/serve/Lifecycle.java
@@ -29,78 +29,75 @@
 import onyxpaddle.node.RequestCounts;
 
 /**
- * A process from its start to its end, whatever it serves: the event loop, the operators' door, the node's state, the
- * socket by which one process takes another's place, and the planned end. What it serves is its {@link Work}. All but
- * {@link #start}, {@link #drain} and {@link #stop} happens on the loop.
+ * The life cycle of a node's process, independent of what it serves: the event loop, the admin server, the node's state, the
+ * handover socket by which one process replaces another, and the graceful shutdown. What it serves is its {@link Work}. All methods
+ * except {@link #start}, {@link #drain} and {@link #stop} run on the event loop.
  */
 final class Lifecycle {
-    private static final long READY_STEP_MS = 10;
+    private static final long READY_POLL_MS = 10;
     /**
-     * A signal passes through so many threads of the JVM before it is heard here: the one that takes signals, the one that this
-     * starts to exit, and the hook's. On a node short of processor time each waits for a turn, as the loop does now. Guards against
-     * an end that goes by when it heard and takes what SIGKILL finds; it does harm where one turn just then was long by chance:
-     * the longest requests are refused that much sooner.
+     * Number of JVM threads that a signal passes through before {@link #drain} runs: the signal dispatcher, the thread that it starts
+     * to exit, and the shutdown hook. On a node short of CPU time each of them waits to be scheduled for about as long as the event
+     * loop does now. Guards against a shutdown that counts from the time of the hook and accepts requests that SIGKILL then
+     * interrupts. Drawback: if that one delay was long by chance, the requests with the longest deadlines are refused that much sooner.
      */
-    private static final int THREADS_TO_HEAR = 3;
+    private static final int SIGNAL_THREADS = 3;
 
     /** What a node serves. */
     interface Work {
-        /** Starts all but the listeners. */
+        /** Starts everything except the listeners. */
         void build();
 
-        /** Listens and takes connections; fails where an address is taken. */
+        /** Listens and accepts connections; fails if an address is in use. */
         CompletableFuture<Void> listen();
 
-        /** Whether requests can be served, were it to listen. */
+        /** Whether requests can be served, apart from whether it listens. */
         boolean ready();
 
-        /** The pools by name, as they are now. */
+        /** The current pools by name. */
         Map<String, Dispatcher> pools();
 
-        /** Pools of an earlier configuration that still have requests out. */
+        /** Pools of earlier configurations that still have requests in flight. */
         List<Dispatcher> retiredPools();
 
-        /** What is bgpReport by BGP, as JSON; null where nothing is. */
+        /** BGP peers and announced addresses as JSON; null without BGP. */
         String bgpReport();
 
-        /** What the process has counted since its start. */
+        /** Counts since the start of the process. */
         RequestCounts tally();
 
         /**
-         * Answers what is taken, and calls {@code done} when nothing is left.
+         * Shuts down gracefully: answers accepted requests and calls {@code done} when none is left.
          *
-         * @param heard when the process heard that it ends, by the node's clock
-         * @param late how long before, at the most, it was told, in nanoseconds
-         * @param replaced another process listens
+         * @param noticedAt when this process noticed the shutdown signal, by the node's clock
+         * @param maxDelay upper bound of the time from the signal to {@code noticedAt}, in nanoseconds
+         * @param replaced whether another process listens at the same addresses
          */
-        void end(long heard, long late, boolean replaced, Runnable done);
+        void end(long noticedAt, long maxDelay, boolean replaced, Runnable done);
 
-        /** Closes all at once. */
+        /** Closes everything immediately. */
         void close();
     }
 
     /**
-     * What a node is told of its life.
-     *
-     * @param name the same for all processes of a node
-     * @param admin where operators call; null for no door
-     * @param folder where processes of the node meet; null where none takes another's place
-     * @param longestEnd how long a planned end may take, in seconds
+     * @param name the node's name, the same for all its processes
+     * @param admin the address of the admin server; null for none
+     * @param folder the folder of the handover socket; null for no handover
+     * @param maxShutdownSeconds the maximum duration of a graceful shutdown, in seconds
      */
-    record Options(String name, InetSocketAddress admin, String folder, long longestEnd) {
+    record Options(String name, InetSocketAddress admin, String folder, long maxShutdownSeconds) {
     }
 
     final EventLoop loop;
     final LoopClock clock = new LoopClock();
     final ByteBufAllocator allocator = SocketBuffers.allocator();
-    /** Of the node: what operators drain. */
     final NodeState state = new NodeState();
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, clock.instrument(NioIoHandler.newFactory()));
     private final CompletableFuture<Void> serving = new CompletableFuture<>();
     private final CountDownLatch ended = new CountDownLatch(1);
     private final Work work;
-    private Options terms = new Options("", null, null, 0);
-    private AdminServer door;
+    private Options options = new Options("", null, null, 0);
+    private AdminServer adminServer;
     private HandoverSocket handover;
     private long reloads;
     private long failedReloads;
@@ -112,9 +109,9 @@
 
     // ---- start ----
 
-    /** Returns once it listens; fails, with nothing left behind, where it can't. */
-    void start(Options told) throws IOException {
-        terms = told;
+    /** Returns once it listens; if it cannot, releases all resources and throws. */
+    void start(Options given) throws IOException {
+        options = given;
         try {
             loop.submit(this::build).sync();
             serving.join();
@@ -132,38 +129,38 @@
 
     private void build() {
         work.build();
-        if (terms.admin() != null) {
-            door = new AdminServer(loop, allocator, new Operations());
-            door.listen(terms.admin()).addListener(f -> {
+        if (options.admin() != null) {
+            adminServer = new AdminServer(loop, allocator, new NodeOperations());
+            adminServer.listen(options.admin()).addListener(f -> {
                 if (!f.isSuccess()) {
-                    serving.completeExceptionally(new IOException("cannot listen on " + terms.admin() + " (admin): "
+                    serving.completeExceptionally(new IOException("cannot listen on " + options.admin() + " (admin): "
                         + f.cause().getMessage(), f.cause()));
                 }
             });
         }
-        handover = HandoverSocket.in(terms.folder(), terms.name(), loop);
+        handover = HandoverSocket.in(options.folder(), options.name(), loop);
         if (handover == null) {
             listen();
         } else {
-            handover.ask(this::follow);
+            handover.requestState(this::listenAfterHandover);
         }
     }
 
     /**
-     * Listens once it is known whether another process of this node serves. Beside one that does, not before this one is
-     * ready: what the kernel gave it until then would wait.
+     * Listens once it is known whether another process of this node is serving. Next to such a process it waits until this one is
+     * ready: connections that the kernel assigned to it before would have to wait.
      */
-    private void follow(boolean present, Map<String, BalancerSnapshot> known) {
-        if (known != null) {
+    private void listenAfterHandover(boolean present, Map<String, BalancerSnapshot> states) {
+        if (states != null) {
             int servers = 0;
             for (Map.Entry<String, Dispatcher> pool : work.pools().entrySet()) {
-                BalancerSnapshot snapshot = known.get(pool.getKey());
+                BalancerSnapshot snapshot = states.get(pool.getKey());
                 if (snapshot != null) {
                     pool.getValue().restore(snapshot);
                     servers += snapshot.servers().size();
                 }
             }
-            Log.line("handover: goes on from what is known of " + servers + " servers");
+            Log.line("handover: restored the state of " + servers + " servers");
         }
         if (present) {
             listenWhenReady();
@@ -176,7 +173,7 @@
         if (work.ready()) {
             listen();
         } else {
-            loop.schedule(this::listenWhenReady, READY_STEP_MS, TimeUnit.MILLISECONDS);
+            loop.schedule(this::listenWhenReady, READY_POLL_MS, TimeUnit.MILLISECONDS);
         }
     }
 
@@ -194,40 +191,39 @@
         });
     }
 
-    /** Whether it takes connections. */
     boolean listens() {
         return serving.isDone() && !serving.isCompletedExceptionally();
     }
 
     /** Whether several processes of this node may listen at one address. */
-    boolean shares() {
-        return terms.folder() != null;
+    boolean sharesAddresses() {
+        return options.folder() != null;
     }
 
-    /** Where operators call; for a node that was given an address for it. */
+    /** The bound address of the admin server; only valid if one is configured. */
     InetSocketAddress adminAddress() {
-        return door.address();
+        return adminServer.address();
     }
 
-    /** A new configuration is in force, or changed nothing for its faults. */
-    void reloaded(boolean taken) {
-        if (taken) {
+    /** Counts a new configuration as applied or as refused. */
+    void reloaded(boolean applied) {
+        if (applied) {
             reloads++;
         } else {
             failedReloads++;
         }
     }
 
-    // ---- what operators ask for ----
+    // ---- admin operations ----
 
-    private final class Operations implements AdminOperations {
+    private final class NodeOperations implements AdminOperations {
         @Override
         public boolean ready() {
             return listens() && state.acceptsWork() && work.ready();
         }
 
         @Override
-        public String figures() {
+        public String metrics() {
             return MetricsExposition.of(work.tally(), work.pools().values(), work.retiredPools(), reloads, failedReloads);
         }
 
@@ -247,56 +243,56 @@
         }
 
         @Override
-        public boolean site(String name, boolean hold) {
-            boolean done = false;
+        public boolean setSiteHeld(String name, boolean hold) {
+            boolean changed = false;
             for (Dispatcher pool : work.pools().values()) {
-                done |= pool.setSiteHold(name, hold);
+                changed |= pool.setSiteHold(name, hold);
             }
-            return done;
+            return changed;
         }
 
         @Override
         public boolean drain() {
-            Log.line("an operator empties the node");
+            Log.line("an operator drains the node");
             return state.drain(clock.now());
         }
 
         @Override
-        public boolean takeOut(String server, boolean out) {
+        public boolean setServerDisabled(String server, boolean disabled) {
             boolean known = false;
             for (Dispatcher pool : work.pools().values()) {
-                known |= pool.takeOut(server, out);
+                known |= pool.takeOut(server, disabled);
             }
-            Log.line("an operator " + (out ? "takes out" : "puts back") + " server " + server + (known ? "" : ", which is not known"));
+            Log.line("an operator " + (disabled ? "disables" : "enables") + " server " + server + (known ? "" : ", which is not known"));
             return known;
         }
 
         @Override
         public boolean undrain() {
-            Log.line("an operator puts the node back to work");
+            Log.line("an operator ends the drain of the node");
             return state.undrain(clock.now());
         }
     }
 
-    // ---- end ----
+    // ---- shutdown ----
 
-    /** Ends as planned: returns when all that was taken is answered. */
+    /** Shuts down gracefully: returns when all accepted requests are answered. */
     void drain() {
-        // Whoever told it to end counts from before this, whatever the loop is busy with.
-        long heard = clock.now();
+        // Taken before the task is queued: the time until SIGKILL runs whatever the event loop is busy with.
+        long noticedAt = clock.now();
         loop.execute(() -> {
             if (!listens()) {
-                // Nothing was taken, so nothing is owed.
+                // No request was accepted, so there is none to answer.
                 ended.countDown();
                 return;
             }
-            boolean replaced = handover != null && handover.succeeded();
+            boolean replaced = handover != null && handover.hasSuccessor();
             Log.line(replaced ? "ending, as another process serves" : "ending");
-            long turn = Math.max(clock.now() - heard, clock.lag());
-            work.end(heard, THREADS_TO_HEAR * turn, replaced, ended::countDown);
+            long schedulingDelay = Math.max(clock.now() - noticedAt, clock.lag());
+            work.end(noticedAt, SIGNAL_THREADS * schedulingDelay, replaced, ended::countDown);
         });
         try {
-            ended.await(terms.longestEnd(), TimeUnit.SECONDS);
+            ended.await(options.maxShutdownSeconds(), TimeUnit.SECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -304,8 +300,8 @@
 
     private void closeAll() {
         work.close();
-        if (door != null) {
-            door.close();
+        if (adminServer != null) {
+            adminServer.close();
         }
         if (handover != null) {
             handover.close();
@@ -313,15 +309,15 @@
     }
 
     /**
-     * Ends at once. Listeners are closed before their loop ends: the JDK puts the close of a registered one off to the next
-     * select, and a loop that ends makes none, so that the system would go on taking connections for nobody.
+     * Stops immediately. Listeners are closed before their event loop ends: the JDK defers the close of a registered channel to the
+     * next select, which a terminated loop never makes, so the kernel would go on accepting connections that nobody serves.
      */
     void stop() {
         try {
             loop.submit(this::closeAll).syncUninterruptibly();
             loop.schedule(() -> { }, 1, TimeUnit.MILLISECONDS).syncUninterruptibly();
         } catch (RejectedExecutionException e) {
-            // It has ended already.
+            // The event loop has already terminated.
         }
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
     }
--- a/src/main/java/onyxpaddle/serve/MixedProtocolUpstream.java
+++ b/src/main/java/onyxpaddle/serve/MixedProtocolUpstream.java
@@ -12,28 +12,28 @@
 import onyxpaddle.rpc.RpcUpstream;
 
 /**
- * A pool's servers over both protocols. A request goes by its caller's own where the server speaks it, else by the other
- * if it is mapped. What decides sees one server, with one count of what is in flight, whichever way its requests go.
+ * A pool's servers over both protocols. A request uses its caller's protocol if the server speaks it, otherwise the other one if
+ * the request is mapped. The balancer sees one server with one count of requests in flight, whatever protocol they use.
  */
 final class MixedProtocolUpstream implements Upstream {
     private final Dispatcher dispatcher;
     private final HttpUpstream http;
-    private final Supplier<RpcUpstream> start;
-    /** Null until a server speaks it. */
+    private final Supplier<RpcUpstream> rpcFactory;
+    /** Null until a listed server has an RPC address. */
     private RpcUpstream rpc;
-    private boolean told;
+    private boolean mismatchLogged;
 
-    /** {@code rpc}: starts what calls servers by MessagePack-RPC, which most pools have no need of. */
+    /** {@code rpc}: creates the MessagePack-RPC upstream, on demand, as most pools do not need it. */
     MixedProtocolUpstream(Dispatcher dispatcher, HttpUpstream http, Supplier<RpcUpstream> rpc) {
         this.dispatcher = dispatcher;
         this.http = http;
-        this.start = rpc;
+        this.rpcFactory = rpc;
     }
 
     void apply(ServerList roster) {
         http.apply(roster);
         if (rpc == null && roster.hosts().stream().anyMatch(h -> h.address(RpcUpstream.PROTOCOL) != null)) {
-            rpc = start.get();
+            rpc = rpcFactory.get();
         }
         if (rpc != null) {
             rpc.apply(roster);
@@ -55,10 +55,10 @@
         } else if (httpReaches && (!byRpc || mapped)) {
             http.send(attempt);
         } else {
-            if (!told && (rpcReaches || httpReaches)) {
-                told = true;
+            if (!mismatchLogged && (rpcReaches || httpReaches)) {
+                mismatchLogged = true;
                 Log.line("server " + attempt.server + " speaks " + (httpReaches ? "HTTP" : "MessagePack-RPC")
-                    + " only, and requests of the other protocol that are not mapped can't go to it");
+                    + " only; requests of the other protocol that are not mapped cannot be sent to it");
             }
             dispatcher.ended(attempt, rpcReaches || httpReaches ? Outcome.NOT_SENT : Outcome.CONNECT_FAILED, null);
         }
@@ -66,7 +66,7 @@
 
     @Override
     public void giveUp(Attempt attempt) {
-        // Each knows its own by what carries the attempt.
+        // Each upstream ignores attempts that are not on one of its own connections.
         http.giveUp(attempt);
         if (rpc != null) {
             rpc.giveUp(attempt);
--- a/src/main/java/onyxpaddle/serve/Node.java
+++ b/src/main/java/onyxpaddle/serve/Node.java
@@ -22,48 +22,49 @@
 import onyxpaddle.node.ServerList;
 import onyxpaddle.node.RequestCounts;
 
-/** The platform's node: one listener, one pool whose servers discovery tells. */
+/** A node on the platform: one listener and one pool, whose servers come from discovery. */
 public final class Node implements Lifecycle.Work {
-    /** How long a node that hears nothing of discovery waits before it works by the list it was started with. */
-    private static final long WAIT_FOR_LIST = 1_000_000_000L;
-    /** The planned end takes no longer than this; by then every deadline has long passed. */
-    private static final long LONGEST_DRAIN_S = 10;
-    /** Part of the servers' idle limit after which an idle connection is not used any more. */
+    /** How long a node without an answer from discovery waits before it serves by the list it was started with. */
+    private static final long LIST_TIMEOUT = 1_000_000_000L;
+    /** Maximum duration of a graceful shutdown; every deadline has long passed by then. */
+    private static final long MAX_SHUTDOWN_S = 10;
+    /** Fraction of the servers' idle timeout after which an idle connection is not reused. */
     private static final double IDLE_SHARE = 0.7;
     /**
-     * And in any case after so long. Each open connection takes some hundredth of a server's capacity there, a handshake
-     * costs it 2 to 3 ms: one that rests for longer than this costs more than the next would.
+     * Upper bound of that time. On the platform each open connection takes about a hundredth of a server's capacity, and a handshake
+     * costs it 2 to 3 ms: a connection that is idle for longer than this costs more than a new one.
      */
-    private static final long LONGEST_IDLE = 400_000_000L;
-    /** Connections to a server that are kept; each costs the server some of its capacity. */
-    private static final int MOST_IDLE = 16;
+    private static final long MAX_IDLE = 400_000_000L;
+    /** Maximum number of idle connections per server; each costs the server some of its capacity. */
+    private static final int MAX_IDLE_CONNECTIONS = 16;
     /**
-     * SIGKILL waits for the longest deadline, but for no longer than this and 0.7 s. Guards against an end that goes by deadlines of
-     * 4 s and takes, until it is killed, what it can't answer any more; callers who wait for longer are refused at once soon after SIGTERM.
+     * The platform sends SIGKILL once the longest deadline has passed after SIGTERM, but no later than this and 0.7 s. Guards against
+     * a shutdown that counts on deadlines of 4 s and, until it is killed, accepts requests that it can no longer answer. Callers that
+     * wait for longer are refused immediately, soon after SIGTERM.
      */
-    private static final long LONGEST_WAITED_FOR = 3_000_000_000L;
+    private static final long MAX_DEADLINE_BEFORE_KILL = 3_000_000_000L;
     private static final int EXIT_CONFIG = 78;
 
-    private final Lifecycle life = new Lifecycle(this);
-    private final Clock clock = life.clock;
+    private final Lifecycle lifecycle = new Lifecycle(this);
+    private final Clock clock = lifecycle.clock;
     private final long startedAt = clock.now();
     private final RequestCounts tally = new RequestCounts(List.of());
     private Dispatcher dispatcher;
-    private HttpUpstream servers;
+    private HttpUpstream upstream;
     private Discovery discovery;
-    private HttpFront clients;
+    private HttpFront front;
     private PlatformConfig config;
-    private boolean anyServer;
-    private boolean heard;
+    private boolean hasServers;
+    private boolean listReceived;
 
-    /** The file about the loss of sites; null where there is none. */
+    /** The file about the loss of sites; null for none. */
     private final String sites;
 
     private Node(String sites) {
         this.sites = sites;
     }
 
-    /** Runs a node as the environment says, until it is told to stop. */
+    /** Runs a node configured by the environment, until the process is terminated. */
     public static void main() {
         try {
             Node node = new Node(System.getenv("LUPINMOUNT_SITES"));
@@ -84,7 +85,7 @@
         return start(config, null);
     }
 
-    /** {@code folder}: where this node's processes meet, null for none. */
+    /** {@code folder}: the folder of the handover socket, null for no handover. */
     static Node start(PlatformConfig config, String folder) throws Exception {
         return start(config, folder, null);
     }
@@ -98,39 +99,40 @@
 
     private void run(PlatformConfig first, String folder) throws IOException {
         config = first;
-        life.start(new Lifecycle.Options(first.name(), first.admin(), folder, LONGEST_DRAIN_S));
+        lifecycle.start(new Lifecycle.Options(first.name(), first.admin(), folder, MAX_SHUTDOWN_S));
     }
 
     @Override
     public void build() {
-        EventLoop loop = life.loop;
+        EventLoop loop = lifecycle.loop;
         ResourceBudget budget = new ResourceBudget(config.sockets(), Runtime.getRuntime().maxMemory());
         tally.know(PoolSettings.classNames(config.settings()));
         dispatcher = new Dispatcher(clock, loop, new RatioBalancer(config.settings(), config.seed()), config.settings().limits(),
             tally);
         PoolShare share = budget.pool();
-        servers = new HttpUpstream(loop, life.allocator, clock, share, dispatcher, new PlatformUpstreamDialect(),
-            Math.min(LONGEST_IDLE, (long) (IDLE_SHARE * config.keepalive())), config.settings().limits().connectTimeout(), MOST_IDLE);
+        upstream = new HttpUpstream(loop, lifecycle.allocator, clock, share, dispatcher, new PlatformUpstreamDialect(),
+            Math.min(MAX_IDLE, (long) (IDLE_SHARE * config.keepalive())), config.settings().limits().connectTimeout(),
+            MAX_IDLE_CONNECTIONS);
         if (sites != null && !sites.isEmpty()) {
-            // Off on the platform, where none of it is loaded.
+            // Not used on the platform, where these classes are never loaded.
             dispatcher.setSiteGate(SiteGates.of(sites, config.settings(), config.seed()));
         }
         discovery = discovery();
-        dispatcher.connect(servers, () -> discovery.subscribe());
-        clients = new HttpFront(new SharedResources(loop, life.allocator, clock, budget, life.state),
+        dispatcher.connect(upstream, () -> discovery.subscribe());
+        front = new HttpFront(new SharedResources(loop, lifecycle.allocator, clock, budget, lifecycle.state),
             new PlatformRequestDialect(config.settings().classes(), dispatcher, share.bytes()), this::ready);
         apply(config.known(), ListKind.CACHED);
         discovery.start();
     }
 
-    /** Always shared: the first process can't know whether there will be a second. */
+    /** The address is always shared: the first process cannot know whether there will be a second. */
     @Override
     public CompletableFuture<Void> listen() {
         CompletableFuture<Void> done = new CompletableFuture<>();
-        clients.listen(config.listen(), true).addListener(f -> {
+        front.listen(config.listen(), true).addListener(f -> {
             if (f.isSuccess()) {
-                clients.open();
-                Log.line("node " + config.name() + " listens on " + clients.address());
+                front.open();
+                Log.line("node " + config.name() + " listens on " + front.address());
                 done.complete(null);
             } else {
                 done.completeExceptionally(f.cause());
@@ -160,30 +162,30 @@
     }
 
     private Discovery discovery() {
-        return new Discovery(life.loop, life.allocator, config.discovery(), config.settings().mustAskMembership(),
-            config.known().seq(), anyServer || !config.known().hosts().isEmpty(), roster -> {
-                heard = true;
+        return new Discovery(lifecycle.loop, lifecycle.allocator, config.discovery(), config.settings().mustAskMembership(),
+            config.known().seq(), hasServers || !config.known().hosts().isEmpty(), roster -> {
+                listReceived = true;
                 apply(roster, roster.whole() ? ListKind.ALL : ListKind.CHANGES);
             }, () -> dispatcher.membership(ListKind.REFUSED, List.of()));
     }
 
     /**
-     * Reads the configuration again, off the event loop, and moves to the discovery that it names. The servers held
-     * stay until the new one tells its whole list; the old one is let go of at once, so that nothing it still sends
-     * can undo that. A file that makes no sense changes nothing. Everything else in it holds from a start only.
+     * Rereads the configuration, off the event loop, and switches to the discovery address in it. The known servers stay until the
+     * new discovery answers with a full list; the old one is disconnected immediately, so that a late answer cannot override that
+     * list. An invalid file changes nothing. All other settings take effect at the next start only.
      */
     void reload(Map<String, String> environment) {
         try {
             PlatformConfig next = PlatformConfig.reload(environment);
-            life.loop.execute(() -> move(next));
+            lifecycle.loop.execute(() -> applyReload(next));
         } catch (PlatformConfig.InvalidConfigException e) {
-            Log.line("SIGHUP: the configuration stays as it was: " + e.getMessage());
-            life.loop.execute(() -> life.reloaded(false));
+            Log.line("SIGHUP: the configuration is invalid and stays unchanged: " + e.getMessage());
+            lifecycle.loop.execute(() -> lifecycle.reloaded(false));
         }
     }
 
-    private void move(PlatformConfig next) {
-        life.reloaded(true);
+    private void applyReload(PlatformConfig next) {
+        lifecycle.reloaded(true);
         if (discovery == null || next.discovery().equals(config.discovery())) {
             return;
         }
@@ -191,56 +193,56 @@
         config = next;
         discovery.stop();
         discovery = discovery();
-        discovery.startAnew();
+        discovery.restart();
     }
 
     private void apply(ServerList roster, ListKind kind) {
-        anyServer |= !roster.hosts().isEmpty();
-        servers.apply(roster);
+        hasServers |= !roster.hosts().isEmpty();
+        upstream.apply(roster);
         dispatcher.membership(kind, roster.entries());
     }
 
-    /** Requests can be served once a server is known; the list at the start may be old, so news is waited for. */
+    /** Ready once a server is known; the list of the start may be outdated, so discovery gets some time to answer first. */
     @Override
     public boolean ready() {
-        return anyServer && (heard || clock.now() - startedAt > WAIT_FOR_LIST);
+        return hasServers && (listReceived || clock.now() - startedAt > LIST_TIMEOUT);
     }
 
     EventLoop loop() {
-        return life.loop;
+        return lifecycle.loop;
     }
 
     InetSocketAddress address() {
-        return clients.address();
+        return front.address();
     }
 
     InetSocketAddress adminAddress() {
-        return life.adminAddress();
+        return lifecycle.adminAddress();
     }
 
     @Override
-    public void end(long heard, long late, boolean replaced, Runnable done) {
-        life.state.end(heard, replaced, Math.min(LONGEST_WAITED_FOR, clients.maxCallerTimeout()), late);
-        clients.end(done);
+    public void end(long noticedAt, long maxDelay, boolean replaced, Runnable done) {
+        lifecycle.state.end(noticedAt, replaced, Math.min(MAX_DEADLINE_BEFORE_KILL, front.maxCallerTimeout()), maxDelay);
+        front.end(done);
     }
 
     @Override
     public void close() {
-        if (life.listens()) {
-            clients.close();
+        if (lifecycle.listens()) {
+            front.close();
         }
         if (discovery != null) {
             discovery.stop();
         }
     }
 
-    /** Ends as planned: returns when all that was taken is answered. */
+    /** Shuts down gracefully: returns when all accepted requests are answered. */
     void drain() {
-        life.drain();
+        lifecycle.drain();
     }
 
-    /** Ends at once. */
+    /** Stops immediately. */
     void stop() {
-        life.stop();
+        lifecycle.stop();
     }
 }
--- a/src/main/java/onyxpaddle/serve/PlatformConfig.java
+++ b/src/main/java/onyxpaddle/serve/PlatformConfig.java
@@ -15,12 +15,15 @@
 import onyxpaddle.node.Addresses;
 import onyxpaddle.node.ServerList;
 
-/** What the node is told at its start: the environment and the file that {@code GW_CONFIG} names. {@code admin}: null for no door. */
+/**
+ * The configuration of a platform node: the environment and the file that {@code GW_CONFIG} names. {@code admin}: null for no admin
+ * listener.
+ */
 record PlatformConfig(String name, InetSocketAddress listen, InetSocketAddress admin, InetSocketAddress discovery, long seed, int sockets,
         ServerList known, Settings settings, long keepalive) {
-    private static final long USUAL_KEEPALIVE = 5_000_000_000L;
+    private static final long DEFAULT_KEEPALIVE = 5_000_000_000L;
 
-    /** A setting that is missing or makes no sense; the message is one line and names it. */
+    /** A setting is missing or invalid; the message is one line and names the setting. */
     static final class InvalidConfigException extends Exception {
         private static final long serialVersionUID = 1L;
 
@@ -29,11 +32,11 @@
         }
     }
 
-    /** As after SIGHUP: the environment is as old as the process, so the file's word on discovery goes before it. */
+    /** Loads after SIGHUP: the environment dates from the start of the process, so the file's discovery address takes precedence. */
     static PlatformConfig reload(Map<String, String> environment) throws InvalidConfigException {
-        Map<String, String> lasting = new HashMap<>(environment);
-        lasting.remove("GW_DISCOVERY");
-        return load(lasting);
+        Map<String, String> remaining = new HashMap<>(environment);
+        remaining.remove("GW_DISCOVERY");
+        return load(remaining);
     }
 
     static PlatformConfig load(Map<String, String> environment) throws InvalidConfigException {
@@ -50,7 +53,7 @@
         return parse(json, environment);
     }
 
-    /** The environment's name and addresses go before the file's, which hold the same. */
+    /** Name and addresses in the environment take precedence over the same keys in the file. */
     static PlatformConfig parse(byte[] json, Map<String, String> environment) throws InvalidConfigException {
         Map<String, String> flat = new HashMap<>();
         ServerList known = new ServerList(0, true, List.of());
@@ -89,7 +92,7 @@
             long keepalive = settings.span("limits.keepaliveS");
             return new PlatformConfig(flat.getOrDefault("name", ""), address(flat, "listen"),
                 flat.containsKey("admin") ? address(flat, "admin") : null, address(flat, "discovery"), seed(flat), sockets(flat), known, settings.settings(),
-                keepalive > 0 ? keepalive : USUAL_KEEPALIVE);
+                keepalive > 0 ? keepalive : DEFAULT_KEEPALIVE);
         } catch (IllegalArgumentException e) {
             throw new InvalidConfigException("settings: " + e.getMessage());
         }
@@ -120,15 +123,15 @@
                 return sockets;
             }
         } catch (NumberFormatException e) {
-            // reported below, like a number that is too small
+            // Reported below, like a number that is too small.
         }
-        throw new InvalidConfigException("limits.sockets: not a number from 100 on: "
+        throw new InvalidConfigException("limits.sockets: not a number of at least 100: "
             + (text.isEmpty() ? "missing" : text));
     }
 
     /**
-     * Lays the value that the parser stands on out as flat paths, in the simulator wire's form: plain lists are
-     * joined by commas, lists of objects give {@code .count} and numbered items.
+     * Flattens the parser's current value into paths, in the form of the simulator's wire protocol: lists of scalars are joined by
+     * commas, lists of objects give {@code .count} and numbered items.
      */
     private static void flatten(JsonParser p, String path, Map<String, String> flat) throws IOException {
         switch (p.currentToken()) {
@@ -140,12 +143,12 @@
                 }
             }
             case START_ARRAY -> {
-                StringBuilder plain = new StringBuilder();
+                StringBuilder scalars = new StringBuilder();
                 int count = 0;
                 boolean objects = false;
                 while (p.nextToken() != JsonToken.END_ARRAY) {
                     if (p.currentToken().isScalarValue()) {
-                        plain.append(count == 0 ? "" : ",").append(p.getText().replace(',', '_'));
+                        scalars.append(count == 0 ? "" : ",").append(p.getText().replace(',', '_'));
                     } else {
                         objects = true;
                         flatten(p, path + "." + count, flat);
@@ -155,7 +158,7 @@
                 if (objects) {
                     flat.put(path + ".count", Integer.toString(count));
                 } else {
-                    flat.put(path, plain.toString());
+                    flat.put(path, scalars.toString());
                 }
             }
             case VALUE_NULL -> { }
--- a/src/main/java/onyxpaddle/serve/PoolSettings.java
+++ b/src/main/java/onyxpaddle/serve/PoolSettings.java
@@ -26,14 +26,17 @@
 import onyxpaddle.rpc.RpcCallRouter;
 import onyxpaddle.rpc.RpcUpstream;
 
-/** What a configuration says, in the terms of the module that decides. */
+/** Converts a configuration to the balancer's settings. */
 final class PoolSettings {
-    /** A sidecar's node lets all in up to its pools' own limits: the module's learnt one is for a first tier's clients. */
-    private static final int BEHIND = 1;
+    /**
+     * Not the first layer: a sidecar admits requests up to the limits of its pools. The balancer's adaptive limit is for clients of the
+     * first tier.
+     */
+    private static final int INNER_LAYER = 1;
     private static final long MS = 1_000_000L;
     private static final long DRAIN_GRACE = 2_000 * MS;
     private static final long ANSWER_SLACK = 8 * MS;
-    private static final long LONGEST_RETRY_AFTER = 1_500 * MS;
+    private static final long MAX_RETRY_AFTER = 1_500 * MS;
     private static final double FALL_MULTIPLE = 3;
     private static final long FALL_SPAN = 3_000 * MS;
     private static final String UNKEYED = "/unkeyed";
@@ -44,24 +47,24 @@
     static Settings of(Pool pool, NodeConfig config) {
         List<BalancerApi.RequestClass> classes = new ArrayList<>();
         for (RequestClass c : config.classesOf(pool.name())) {
-            Classes both = classes(c);
+            Classes variants = classes(c);
             if (config.called(pool.name())) {
-                // What calls add to the kinds; a pool of HTTP alone has no need of them.
+                // RPC calls add classes of their own; a pool that serves HTTP only does not need them.
                 classes.addAll(callClasses(c).all());
                 continue;
             }
-            classes.add(both.keyed());
-            if (both.unkeyed() != both.keyed()) {
-                classes.add(both.unkeyed());
+            classes.add(variants.keyed());
+            if (variants.unkeyed() != variants.keyed()) {
+                classes.add(variants.unkeyed());
             }
         }
         List<Tenant> tenants = config.tenant() == null ? List.of() : List.of(new Tenant(config.tenant(), 0));
-        return new Settings("", List.of(), BEHIND, 0, 1, classes, tenants, 1, false, false, Weights.NOMINAL, List.of(), 0,
-            0, new Limits(pool.attempts(), false, true, false, true, LONGEST_RETRY_AFTER, pool.connectTimeout()),
+        return new Settings("", List.of(), INNER_LAYER, 0, 1, classes, tenants, 1, false, false, Weights.NOMINAL, List.of(), 0,
+            0, new Limits(pool.attempts(), false, true, false, true, MAX_RETRY_AFTER, pool.connectTimeout()),
             new Rules(pool.startCapacity(), pool.cold(), FALL_MULTIPLE, FALL_SPAN, DRAIN_GRACE, ANSWER_SLACK, 0));
     }
 
-    /** A class with its key and without: a keyed request that brings no key can't be told from its repeat. */
+    /** A class for requests with a key and one for those without: without a key a repeat of a request cannot be recognized. */
     static Classes classes(RequestClass c) {
         Effect effect = switch (c.effect()) {
             case SAFE -> c.retry() ? Effect.SAFE : Effect.UNSAFE;
@@ -83,10 +86,10 @@
         return classes;
     }
 
-    /** The same, as calls by MessagePack-RPC see it. */
+    /** Like {@link #classes(RequestClass)}, for MessagePack-RPC calls. */
     static RpcCallRouter.ClassVariants callClasses(RequestClass c) {
-        Classes both = classes(c);
-        return new RpcCallRouter.ClassVariants(both.keyed(), both.unkeyed());
+        Classes variants = classes(c);
+        return new RpcCallRouter.ClassVariants(variants.keyed(), variants.unkeyed());
     }
 
     static Map<String, RpcCallRouter.ClassVariants> callClasses(NodeConfig config) {
@@ -110,7 +113,7 @@
         return new ServerList(0, true, hosts);
     }
 
-    private static InetSocketAddress address(HostPort of) {
-        return of == null ? null : Addresses.of(of.host(), of.port());
+    private static InetSocketAddress address(HostPort at) {
+        return at == null ? null : Addresses.of(at.host(), at.port());
     }
 }
--- a/src/main/java/onyxpaddle/serve/RunningPool.java
+++ b/src/main/java/onyxpaddle/serve/RunningPool.java
@@ -38,18 +38,18 @@
 import onyxpaddle.rpc.RpcDropCounter;
 import onyxpaddle.rpc.RpcUpstream;
 
-/** A running pool: its servers, the module that decides about them, and where they are learnt from. */
+/** A pool in operation: its servers, their balancer, and the source of its server list. */
 final class RunningPool {
     /**
-     * Connections to a server that are kept. Guards against dialling for each request, which leaves the machine without
-     * local ports within seconds: a node on one machine may send all its traffic to one server. Does harm where a server
-     * takes fewer connections than that; the pool's part of the descriptors bounds them, too.
+     * Maximum number of idle connections per server. Guards against a new connection for each request, which exhausts the machine's
+     * local ports within seconds, as a node on one machine may send all its traffic to one server. Drawback: too many for a server
+     * that accepts fewer connections than that; the pool's share of the file descriptors is a further bound.
      */
-    private static final int MOST_IDLE = 256;
-    private static final long LOOK_MS = 250;
+    private static final int MAX_IDLE_CONNECTIONS = 256;
+    private static final long FILE_POLL_MS = 250;
 
-    /** What a pool shares with the rest of the node; {@code files}: the thread that reads list files. */
-    record SharedResources(EventLoop loop, ByteBufAllocator allocator, Clock clock, ResourceBudget budget,
+    /** What a pool shares with the rest of the node; {@code files}: the executor that reads list files. */
+    record Context(EventLoop loop, ByteBufAllocator allocator, Clock clock, ResourceBudget budget,
             ScheduledExecutorService files, RequestCounts tally, String node) {
     }
 
@@ -58,55 +58,55 @@
     private final List<RequestClass> classes;
     private final PoolShare share;
     private final MixedProtocolUpstream upstream;
-    private final boolean called;
-    private final SharedResources around;
+    private final boolean servesRpc;
+    private final Context context;
     private Discovery discovery;
-    private Future<?> watch;
+    private Future<?> filePoll;
     private boolean stopped;
-    private boolean anyServer;
+    private boolean hasServers;
 
-    RunningPool(Pool pool, NodeConfig node, long seed, SharedResources around) {
+    RunningPool(Pool pool, NodeConfig node, long seed, Context context) {
         this.config = pool;
         this.classes = node.classesOf(pool.name());
-        this.around = around;
-        share = around.budget().pool();
+        this.context = context;
+        share = context.budget().pool();
         Settings settings = PoolSettings.of(pool, node);
-        around.tally().know(PoolSettings.classNames(settings));
-        double highest = classes.stream().mapToDouble(RequestClass::worth).max().orElse(1);
-        InFlightLimit limit = pool.inFlight() == 0 ? null : new InFlightLimit(pool.inFlight(), highest);
-        dispatcher = new Dispatcher(around.clock(), around.loop(), new RatioBalancer(settings, seed), settings.limits(),
-            around.tally(), limit);
-        called = node.called(pool.name());
-        upstream = new MixedProtocolUpstream(dispatcher, new HttpUpstream(around.loop(), around.allocator(), around.clock(), share,
-            dispatcher, new PlainUpstreamDialect(around.node()), pool.idle(), pool.connectTimeout(), MOST_IDLE,
-            called ? new RpcOverHttp(share.bytes(), pool.body()) : HttpBridge.NONE), () -> rpc(pool));
+        context.tally().know(PoolSettings.classNames(settings));
+        double highestWorth = classes.stream().mapToDouble(RequestClass::worth).max().orElse(1);
+        InFlightLimit limit = pool.inFlight() == 0 ? null : new InFlightLimit(pool.inFlight(), highestWorth);
+        dispatcher = new Dispatcher(context.clock(), context.loop(), new RatioBalancer(settings, seed), settings.limits(),
+            context.tally(), limit);
+        servesRpc = node.called(pool.name());
+        upstream = new MixedProtocolUpstream(dispatcher, new HttpUpstream(context.loop(), context.allocator(), context.clock(),
+            share, dispatcher, new PlainUpstreamDialect(context.node()), pool.idle(), pool.connectTimeout(), MAX_IDLE_CONNECTIONS,
+            servesRpc ? new RpcOverHttp(share.bytes(), pool.body()) : HttpBridge.NONE), () -> rpc(pool));
         dispatcher.connect(upstream, () -> { });
     }
 
     private RpcUpstream rpc(Pool pool) {
-        return new RpcUpstream(around.loop(), around.allocator(), around.clock(), share, dispatcher,
+        return new RpcUpstream(context.loop(), context.allocator(), context.clock(), share, dispatcher,
             new RpcUpstream.Options(pool.rpc().connections(), pool.rpc().calls(), pool.rpc().envelope(), pool.body(),
                 pool.idle(), pool.connectTimeout()), new HttpOverRpc(share.bytes()), new RpcDropCounter("pool " + pool.name()));
     }
 
-    /** Learns its servers from now on. */
+    /** Starts receiving lists of servers. */
     void start() {
         if (config.file() != null) {
-            ListFile file = new ListFile(config.file(), RunningPool::read, this::take);
-            watch = around.files().scheduleWithFixedDelay(() -> look(file), LOOK_MS, LOOK_MS, TimeUnit.MILLISECONDS);
-            around.files().execute(file::readNow);
+            ListFile file = new ListFile(config.file(), RunningPool::read, this::applyFromFile);
+            filePoll = context.files().scheduleWithFixedDelay(() -> poll(file), FILE_POLL_MS, FILE_POLL_MS, TimeUnit.MILLISECONDS);
+            context.files().execute(file::readNow);
         } else if (config.discovery() != null) {
-            discovery = new Discovery(around.loop(), around.allocator(),
+            discovery = new Discovery(context.loop(), context.allocator(),
                 Addresses.of(config.discovery().host(), config.discovery().port()), false, 0, false, this::apply, () -> { });
-            discovery.startAnew();
+            discovery.restart();
         } else {
             apply(PoolSettings.roster(config.servers()));
         }
     }
 
-    private static void look(ListFile file) {
+    private static void poll(ListFile file) {
         try {
-            file.look();
+            file.poll();
         } catch (RuntimeException e) {
             Log.failure("reading a list file", e);
         }
@@ -119,29 +119,30 @@
         return Optional.ofNullable(servers).map(PoolSettings::roster);
     }
 
-    /** A list that was read on another thread. */
-    private void take(ServerList roster) {
-        around.loop().execute(() -> {
+    /** Called on the thread that reads list files. */
+    private void applyFromFile(ServerList roster) {
+        context.loop().execute(() -> {
             if (!stopped) {
-                Log.line("pool " + config.name() + ": the list file names " + roster.hosts().size() + " servers");
+                Log.line("pool " + config.name() + ": the list file has " + roster.hosts().size() + " servers");
                 apply(roster);
             }
         });
     }
 
     private void apply(ServerList roster) {
-        anyServer |= !roster.hosts().isEmpty();
+        hasServers |= !roster.hosts().isEmpty();
         upstream.apply(roster);
         dispatcher.membership(roster.whole() ? ListKind.ALL : ListKind.CHANGES, roster.entries());
     }
 
-    /** Whether it can go on as it is, with at the most other servers, under a new configuration. */
-    boolean serves(Pool next, NodeConfig node) {
-        return config.differsInServersOnly(next) && called == node.called(next.name()) && classes.equals(node.classesOf(next.name()));
+    /** Whether this pool can be reused under a new configuration, which differs in its servers at most. */
+    boolean canServe(Pool next, NodeConfig node) {
+        return config.differsInServersOnly(next) && servesRpc == node.called(next.name())
+            && classes.equals(node.classesOf(next.name()));
     }
 
-    /** Takes another fixed list, where there is one. */
-    void servers(Pool next) {
+    /** Switches to the configuration's fixed list of servers, if it has changed. */
+    void updateServers(Pool next) {
         if (!next.servers().equals(config.servers())) {
             apply(PoolSettings.roster(next.servers()));
         }
@@ -149,25 +150,25 @@
     }
 
     boolean ready() {
-        return anyServer;
+        return hasServers;
     }
 
     Target target() {
         return new Target(dispatcher, share.bytes(), config.body(), config.held());
     }
 
-    RpcCallRouter.Target callTarget() {
+    RpcCallRouter.Target rpcTarget() {
         return new RpcCallRouter.Target(dispatcher, share.bytes(), config.body());
     }
 
-    /** Ends it, once nothing is out any more. */
+    /** To be called once no request is in flight any more. */
     void stop() {
         stopped = true;
         if (discovery != null) {
             discovery.stop();
         }
-        if (watch != null) {
-            watch.cancel(false);
+        if (filePoll != null) {
+            filePoll.cancel(false);
         }
         upstream.close();
         share.leave();
--- a/src/main/java/onyxpaddle/serve/Sidecar.java
+++ b/src/main/java/onyxpaddle/serve/Sidecar.java
@@ -47,20 +47,20 @@
 import onyxpaddle.rpc.RpcFront;
 
 /**
- * A node by a configuration of its own: listeners, routes and pools, which come and go as the file changes. A change is
- * all or nothing: listeners that are new are bound first, and only when all are does anything else move. What was
- * taken before goes on by the routes and pools it was taken by; they end when it has.
+ * A node with a configuration file of listeners, routes and pools, which a reload adds and removes. A change is atomic: new listeners
+ * are bound first, and nothing else changes before all are bound. Requests accepted earlier keep the routes and pools that they were
+ * accepted with, which are closed once these requests have ended.
  */
 public final class Sidecar implements Lifecycle.Work {
     private static final int EXIT_CONFIG = 78;
-    private static final long REAP_MS = 50;
-    private static final long LONGEST_DRAIN_S = 60;
-    private static final int MOST_FAULTS_LOGGED = 20;
-
-    private final Lifecycle life = new Lifecycle(this);
-    private final EventLoop loop = life.loop;
-    private final Clock clock = life.clock;
-    private final ByteBufAllocator allocator = life.allocator;
+    private static final long CLOSE_RETIRED_MS = 50;
+    private static final long MAX_SHUTDOWN_S = 60;
+    private static final int MAX_FAULTS_LOGGED = 20;
+
+    private final Lifecycle lifecycle = new Lifecycle(this);
+    private final EventLoop loop = lifecycle.loop;
+    private final Clock clock = lifecycle.clock;
+    private final ByteBufAllocator allocator = lifecycle.allocator;
     private final SecureRandom seeds = new SecureRandom();
     private final String idPrefix = Long.toHexString(seeds.nextLong()) + "-";
     private final ScheduledExecutorService files = Executors.newSingleThreadScheduledExecutor(task -> {
@@ -69,27 +69,27 @@
         return thread;
     });
     private final ResourceBudget budget;
-    /** Of the listeners for others; and of those for what the application itself calls, which end after them. */
-    private final NodeState inbound = life.state;
+    /** The state of the inbound listeners, and that of the outbound ones, for the application's own calls, which shut down later. */
+    private final NodeState inbound = lifecycle.state;
     private final NodeState outbound = new NodeState();
-    /** Of the process: a pool that a reload replaces takes no count along. */
+    /** Counts of the whole process, so that they outlive pools that a reload replaces. */
     private final RequestCounts tally = new RequestCounts(List.of());
     private final Map<String, RunningPool> pools = new LinkedHashMap<>();
-    private final Map<String, Door> doors = new LinkedHashMap<>();
-    private final List<RunningPool> leavingPools = new ArrayList<>();
-    private final List<Front> leavingFronts = new ArrayList<>();
+    private final Map<String, BoundListener> boundListeners = new LinkedHashMap<>();
+    private final List<RunningPool> retiredPools = new ArrayList<>();
+    private final List<Front> retiredFronts = new ArrayList<>();
     private final NodeConfig first;
     private NodeConfig config;
-    /** Null as long as nothing is to be bgpReport. */
-    private BgpAnnouncer announcing;
-    private Future<?> reaping;
+    /** Null until a configuration has a BGP section. */
+    private BgpAnnouncer bgpAnnouncer;
+    private Future<?> closeRetiredTask;
     private long requests;
-    /** The change that is under way, and the newest that waits for it. */
+    /** The change being applied, and the newest one waiting for it. */
     private Change current;
     private Change next;
 
-    /** A listener as it install; {@code outbound}: the side it was opened on. */
-    private record Door(Listener listener, Front front, InetSocketAddress bound, boolean outbound) {
+    /** A bound listener; {@code outbound}: the side it was opened on. */
+    private record BoundListener(Listener listener, Front front, InetSocketAddress address, boolean outbound) {
     }
 
     private record Change(NodeConfig config, CompletableFuture<String> done) {
@@ -101,7 +101,7 @@
         budget = new ResourceBudget(first.limits().descriptors(), heap);
     }
 
-    /** Runs a node by the file, until it is told to stop; {@code admin}: in place of the file's, null for that. */
+    /** Runs a node until the process is terminated; {@code admin} overrides the file's admin address, null for no override. */
     public static void main(Path file, HostPort admin) {
         Faults faults = new Faults();
         NodeConfig first = NodeConfigReader.file(file, MachineLimits.here(), faults);
@@ -119,17 +119,17 @@
         }
     }
 
-    /** Starts a node; fails where an address is taken. */
+    /** Starts a node; fails if an address is in use. */
     public static Sidecar start(NodeConfig first) throws Exception {
         Sidecar node = new Sidecar(first);
         HostPort admin = first.admin();
         Path folder = first.handover();
-        node.life.start(new Lifecycle.Options(first.name(), admin == null ? null : Addresses.of(admin.host(), admin.port()),
-            folder == null ? null : folder.toString(), LONGEST_DRAIN_S));
+        node.lifecycle.start(new Lifecycle.Options(first.name(), admin == null ? null : Addresses.of(admin.host(), admin.port()),
+            folder == null ? null : folder.toString(), MAX_SHUTDOWN_S));
         return node;
     }
 
-    /** Pools learn their servers before there is a listener: where another process serves, this one listens once it can. */
+    /** Starts pools before listeners: next to another serving process, this one listens only once its pools have servers. */
     @Override
     public void build() {
         commitPools(first);
@@ -157,12 +157,12 @@
 
     @Override
     public List<Dispatcher> retiredPools() {
-        return leavingPools.stream().map(pool -> pool.dispatcher).toList();
+        return retiredPools.stream().map(pool -> pool.dispatcher).toList();
     }
 
     @Override
     public String bgpReport() {
-        return announcing == null ? null : announcing.report();
+        return bgpAnnouncer == null ? null : bgpAnnouncer.report();
     }
 
     @Override
@@ -170,171 +170,172 @@
         return tally;
     }
 
-    // ---- change ----
+    // ---- configuration changes ----
 
     EventLoop loop() {
         return loop;
     }
 
-    /** Reads the file again, off the event loop; a faulty one changes nothing and is told in full. */
+    /** Rereads the file, off the event loop. An invalid file changes nothing, and its faults are logged. */
     void reload(Path file) {
         Faults faults = new Faults();
         NodeConfig read = NodeConfigReader.file(file, MachineLimits.here(), faults);
         if (read == null) {
             Log.line("reload: nothing is changed, as the file is at fault:");
-            faults.list().stream().limit(MOST_FAULTS_LOGGED).map(Fault::toString).forEach(Log::line);
-            loop.execute(() -> life.reloaded(false));
+            faults.list().stream().limit(MAX_FAULTS_LOGGED).map(Fault::toString).forEach(Log::line);
+            loop.execute(() -> lifecycle.reloaded(false));
             return;
         }
         change(read).thenAccept(failure -> {
-            life.reloaded(failure == null);
+            lifecycle.reloaded(failure == null);
             Log.line(failure == null ? "reload: done" : "reload: nothing is changed: " + failure);
         });
     }
 
-    /** Counts a change that came by another way than {@link #reload}. */
-    void reloaded(boolean taken) {
-        loop.execute(() -> life.reloaded(taken));
+    /** Counts a change that was not made by {@link #reload}. */
+    void reloaded(boolean applied) {
+        loop.execute(() -> lifecycle.reloaded(applied));
     }
 
     /**
-     * Moves to a configuration. What comes is null once it is in force, or why nothing was changed. Of several that
-     * come while one is under way, the newest alone is followed up; the others are done when it is.
+     * Switches to a configuration. The result is null once it is in force, or the reason why nothing was changed. Of the changes
+     * requested while one is being applied only the newest is applied; the skipped ones complete with its result.
      */
     public CompletableFuture<String> change(NodeConfig to) {
         Change change = new Change(to, new CompletableFuture<>());
         loop.execute(() -> {
             if (next != null) {
-                CompletableFuture<String> passed = next.done();
-                change.done().thenAccept(passed::complete);
+                CompletableFuture<String> skipped = next.done();
+                change.done().thenAccept(skipped::complete);
             }
             next = change;
-            proceed();
+            applyNext();
         });
         return change.done();
     }
 
-    private void proceed() {
+    private void applyNext() {
         if (current != null || next == null) {
             return;
         }
         current = next;
         next = null;
-        List<Door> fresh = new ArrayList<>();
+        List<BoundListener> opened = new ArrayList<>();
         List<io.netty.util.concurrent.Future<?>> binding = new ArrayList<>();
         for (Listener listener : current.config().listeners().values()) {
-            if (standing(listener) == null) {
-                SharedResources around = new SharedResources(loop, allocator, clock, budget, listener.outbound() ? outbound : inbound);
-                Front front = listener.rpc() ? new RpcFront(around, new RpcDropCounter("listener " + listener.name()))
-                    : new HttpFront(around, null, this::ready);
-                binding.add(front.listen(Addresses.of(listener.address().host(), listener.address().port()), life.shares()));
-                fresh.add(new Door(listener, front, null, listener.outbound()));
+            if (existing(listener) == null) {
+                SharedResources context = new SharedResources(loop, allocator, clock, budget, listener.outbound() ? outbound : inbound);
+                Front front = listener.rpc() ? new RpcFront(context, new RpcDropCounter("listener " + listener.name()))
+                    : new HttpFront(context, null, this::ready);
+                binding.add(front.listen(Addresses.of(listener.address().host(), listener.address().port()), lifecycle.sharesAddresses()));
+                opened.add(new BoundListener(listener, front, null, listener.outbound()));
             }
         }
-        bound(fresh, binding, 0, null);
+        awaitBinds(opened, binding, 0, null);
     }
 
-    /** Waits for one bind after the other, then goes on, or takes back those that went well. */
-    private void bound(List<Door> fresh, List<io.netty.util.concurrent.Future<?>> binding, int index, String failure) {
+    /** Waits for the binds one after the other, then commits the change, or closes the new listeners if a bind failed. */
+    private void awaitBinds(List<BoundListener> opened, List<io.netty.util.concurrent.Future<?>> binding, int index, String failure) {
         if (index < binding.size()) {
             binding.get(index).addListener(f -> {
-                String wrong = f.isSuccess() ? failure : "cannot listen on " + fresh.get(index).listener().address() + " ("
-                    + fresh.get(index).listener().name() + "): " + f.cause().getMessage();
-                bound(fresh, binding, index + 1, wrong);
+                String error = f.isSuccess() ? failure : "cannot listen on " + opened.get(index).listener().address() + " ("
+                    + opened.get(index).listener().name() + "): " + f.cause().getMessage();
+                awaitBinds(opened, binding, index + 1, error);
             });
             return;
         }
         Change change = current;
         if (failure == null) {
-            List<Door> ready = new ArrayList<>();
-            for (int i = 0; i < fresh.size(); i++) {
-                Door door = fresh.get(i);
-                ready.add(new Door(door.listener(), door.front(), door.front().address(), door.outbound()));
+            List<BoundListener> ready = new ArrayList<>();
+            for (int i = 0; i < opened.size(); i++) {
+                BoundListener bound = opened.get(i);
+                ready.add(new BoundListener(bound.listener(), bound.front(), bound.front().address(), bound.outbound()));
             }
             commit(change.config(), ready);
         } else {
-            fresh.forEach(door -> door.front().close());
+            opened.forEach(bound -> bound.front().close());
         }
         change.done().complete(failure);
         current = null;
-        proceed();
+        applyNext();
     }
 
-    private Door standing(Listener listener) {
-        Door door = doors.get(listener.name());
-        return door != null && door.listener().sameDoor(listener) ? door : null;
+    private BoundListener existing(Listener listener) {
+        BoundListener bound = boundListeners.get(listener.name());
+        return bound != null && bound.listener().sameDoor(listener) ? bound : null;
     }
 
-    private void commit(NodeConfig to, List<Door> fresh) {
+    private void commit(NodeConfig to, List<BoundListener> opened) {
         if (config != null && !config.limits().equals(to.limits())) {
-            Log.line("reload: `limits` hold from a start only; all else is taken");
+            Log.line("reload: a change of `limits` takes effect at the next start; all other changes are applied");
         }
         if (config != null && !java.util.Objects.equals(config.handover(), to.handover())) {
-            Log.line("reload: `handover` holds from a start only; all else is taken");
+            Log.line("reload: a change of `handover` takes effect at the next start; all other changes are applied");
         }
         config = to;
         commitPools(to);
         Map<String, Target> targets = new HashMap<>();
         pools.forEach((name, pool) -> targets.put(name, pool.target()));
-        Map<String, Door> before = new HashMap<>(doors);
-        doors.clear();
+        Map<String, BoundListener> previous = new HashMap<>(boundListeners);
+        boundListeners.clear();
         for (Listener listener : to.listeners().values()) {
-            Door old = before.get(listener.name());
-            Door door = old != null && old.listener().sameDoor(listener) ? old
-                : fresh.stream().filter(d -> d.listener().equals(listener)).findFirst().orElseThrow();
-            if (door.front() instanceof HttpFront front) {
+            BoundListener old = previous.get(listener.name());
+            BoundListener bound = old != null && old.listener().sameDoor(listener) ? old
+                : opened.stream().filter(d -> d.listener().equals(listener)).findFirst().orElseThrow();
+            if (bound.front() instanceof HttpFront front) {
                 front.use(dialect(to, listener, targets));
             } else {
-                ((RpcFront) door.front()).use(calls(to, listener));
+                ((RpcFront) bound.front()).use(calls(to, listener));
             }
-            if (door == old) {
-                before.remove(listener.name());
+            if (bound == old) {
+                previous.remove(listener.name());
             } else {
-                door.front().open();
-                Log.line("listener " + listener.name() + " is on " + door.bound());
+                bound.front().open();
+                Log.line("listener " + listener.name() + " listens on " + bound.address());
             }
-            if (door.outbound() != listener.outbound()) {
-                Log.line("reload: listener " + listener.name() + " stays on its side until a start, as its connections do");
+            if (bound.outbound() != listener.outbound()) {
+                Log.line("reload: listener " + listener.name()
+                    + " changes its side at the next start, as its open connections keep the old one");
             }
-            doors.put(listener.name(), new Door(listener, door.front(), door.bound(), door.outbound()));
+            boundListeners.put(listener.name(), new BoundListener(listener, bound.front(), bound.address(), bound.outbound()));
         }
-        for (Door door : before.values()) {
-            Log.line("listener " + door.listener().name() + " on " + door.bound() + " ends");
-            door.front().retire();
-            leavingFronts.add(door.front());
+        for (BoundListener bound : previous.values()) {
+            Log.line("listener " + bound.listener().name() + " on " + bound.address() + " is removed");
+            bound.front().retire();
+            retiredFronts.add(bound.front());
         }
-        announce(to);
-        if (reaping == null) {
-            reaping = loop.scheduleWithFixedDelay(this::reap, REAP_MS, REAP_MS, TimeUnit.MILLISECONDS);
+        updateBgp(to);
+        if (closeRetiredTask == null) {
+            closeRetiredTask = loop.scheduleWithFixedDelay(this::closeRetired, CLOSE_RETIRED_MS, CLOSE_RETIRED_MS, TimeUnit.MILLISECONDS);
         }
     }
 
-    private void announce(NodeConfig to) {
-        if (announcing == null && to.bgp() != null) {
-            announcing = new BgpAnnouncer(life, () -> pools, () -> leavingPools, seeds.nextLong());
+    private void updateBgp(NodeConfig to) {
+        if (bgpAnnouncer == null && to.bgp() != null) {
+            bgpAnnouncer = new BgpAnnouncer(lifecycle, () -> pools, () -> retiredPools, seeds.nextLong());
         }
-        if (announcing != null) {
-            announcing.use(to.bgp() != null ? to.bgp() : new BgpConfig(0, 0, null, Map.of(), Map.of()));
+        if (bgpAnnouncer != null) {
+            bgpAnnouncer.apply(to.bgp() != null ? to.bgp() : new BgpConfig(0, 0, null, Map.of(), Map.of()));
         }
     }
 
     private void commitPools(NodeConfig to) {
-        Map<String, RunningPool> before = new HashMap<>(pools);
+        Map<String, RunningPool> previous = new HashMap<>(pools);
         pools.clear();
         to.pools().forEach((name, pool) -> {
-            RunningPool old = before.get(name);
-            if (old != null && old.serves(pool, to)) {
-                old.servers(pool);
-                before.remove(name);
+            RunningPool old = previous.get(name);
+            if (old != null && old.canServe(pool, to)) {
+                old.updateServers(pool);
+                previous.remove(name);
                 pools.put(name, old);
             } else {
-                RunningPool unit = new RunningPool(pool, to, seeds.nextLong(),
-                    new RunningPool.SharedResources(loop, allocator, clock, budget, files, tally, to.name()));
-                unit.start();
-                pools.put(name, unit);
+                RunningPool created = new RunningPool(pool, to, seeds.nextLong(),
+                    new RunningPool.Context(loop, allocator, clock, budget, files, tally, to.name()));
+                created.start();
+                pools.put(name, created);
             }
         });
-        leavingPools.addAll(before.values());
+        retiredPools.addAll(previous.values());
     }
 
     private RequestDialect dialect(NodeConfig to, Listener listener, Map<String, Target> targets) {
@@ -345,95 +346,95 @@
 
     private RpcCallRouter calls(NodeConfig to, Listener listener) {
         Map<String, RpcCallRouter.Target> targets = new HashMap<>();
-        pools.forEach((name, pool) -> targets.put(name, pool.callTarget()));
+        pools.forEach((name, pool) -> targets.put(name, pool.rpcTarget()));
         ProcedureTable table = new ProcedureTable(to.procedures().stream()
             .filter(p -> p.listener().equals(listener.name())).toList());
         return new RpcCallRouter(table, targets, PoolSettings.callClasses(to), to.tenant(), listener.idle(), listener.openCalls(),
             () -> idPrefix + Long.toHexString(requests++));
     }
 
-    /** Lets go of the fronts and pools that nothing needs any more. */
-    private void reap() {
-        leavingFronts.removeIf(front -> {
+    /** Closes retired fronts without open connections, and retired pools that no front uses any more. */
+    private void closeRetired() {
+        retiredFronts.removeIf(front -> {
             if (front.empty()) {
                 front.close();
             }
             return front.empty();
         });
-        for (Iterator<RunningPool> i = leavingPools.iterator(); i.hasNext();) {
+        for (Iterator<RunningPool> i = retiredPools.iterator(); i.hasNext();) {
             RunningPool pool = i.next();
-            // A retired front still reads by the routes it had, so all its pools stay for as long as it does.
-            if (leavingFronts.isEmpty() && pool.dispatcher.idle()
-                    && doors.values().stream().noneMatch(d -> d.front().uses(pool.dispatcher))) {
+            // A retired front still accepts requests by its old routes, so all retired pools stay until it is closed.
+            if (retiredFronts.isEmpty() && pool.dispatcher.idle()
+                    && boundListeners.values().stream().noneMatch(d -> d.front().uses(pool.dispatcher))) {
                 pool.stop();
                 i.remove();
             }
         }
     }
 
-    // ---- what is asked of it ----
+    // ---- queries ----
 
     @Override
     public boolean ready() {
         return pools.values().stream().allMatch(RunningPool::ready);
     }
 
-    /** Where a listener is bound; null where there is no such listener. */
+    /** The address that a listener is bound to; null if there is no such listener. */
     public InetSocketAddress address(String listener) {
         try {
-            return loop.submit(() -> doors.containsKey(listener) ? doors.get(listener).bound() : null).get();
+            return loop.submit(() -> boundListeners.containsKey(listener) ? boundListeners.get(listener).address() : null).get();
         } catch (InterruptedException | java.util.concurrent.ExecutionException e) {
             throw new IllegalStateException(e);
         }
     }
 
-    /** How many pools and fronts still end, for tests. */
+    /** How many retired pools and fronts are not closed yet; for tests. */
     int retiringCount() throws Exception {
-        return loop.submit(() -> leavingPools.size() + leavingFronts.size()).get();
+        return loop.submit(() -> retiredPools.size() + retiredFronts.size()).get();
     }
 
-    // ---- end ----
+    // ---- shutdown ----
 
-    /** Ends as planned: returns when all that was taken is answered. */
+    /** Shuts down gracefully: returns when all accepted requests are answered. */
     public void drain() {
-        life.drain();
+        lifecycle.drain();
     }
 
     /**
-     * The outbound side ends after the inbound one, as the application needs what it calls to answer what it has taken.
-     * Beside a process that listens in this one's place both end at once: the application's calls have another way.
+     * The outbound side shuts down after the inbound one, as the application still makes calls to answer requests that it has
+     * accepted. If another process listens at the same addresses, both sides shut down together, as the application's calls can go there.
      */
     @Override
-    public void end(long heard, long late, boolean replaced, Runnable ended) {
-        Runnable done = announcing == null ? ended : () -> announcing.end(ended);
+    public void end(long noticedAt, long maxDelay, boolean replaced, Runnable ended) {
+        Runnable done = bgpAnnouncer == null ? ended : () -> bgpAnnouncer.stop(ended);
         if (replaced) {
-            int[] sides = {2};
-            Runnable side = () -> {
-                if (--sides[0] == 0) {
+            int[] sidesLeft = {2};
+            Runnable sideDone = () -> {
+                if (--sidesLeft[0] == 0) {
                     done.run();
                 }
             };
-            endSide(heard, late, false, true, side);
-            endSide(heard, late, true, true, side);
+            endSide(noticedAt, maxDelay, false, true, sideDone);
+            endSide(noticedAt, maxDelay, true, true, sideDone);
         } else {
-            // The application's own side ends once no caller of others is left, and counts from then.
-            endSide(heard, late, false, false, () -> endSide(clock.now(), 0, true, false, done));
+            // The outbound side shuts down once no inbound caller is left, and its time counts from then.
+            endSide(noticedAt, maxDelay, false, false, () -> endSide(clock.now(), 0, true, false, done));
         }
     }
 
-    /** Ends the listeners of one side, and those of an earlier configuration with the inbound one; then goes on, once. */
-    private void endSide(long since, long late, boolean outbound, boolean replaced, Runnable then) {
+    /** Shuts down the listeners of one side, the inbound one including retired listeners; then runs {@code then}, once. */
+    private void endSide(long since, long maxDelay, boolean outbound, boolean replaced, Runnable then) {
         Set<Front> open = new HashSet<>();
-        for (Door door : doors.values()) {
-            if (door.outbound() == outbound) {
-                open.add(door.front());
+        for (BoundListener bound : boundListeners.values()) {
+            if (bound.outbound() == outbound) {
+                open.add(bound.front());
             }
         }
         if (!outbound) {
-            open.addAll(leavingFronts);
+            open.addAll(retiredFronts);
         }
         (outbound ? this.outbound : inbound).end(since, replaced,
-            open.stream().mapToLong(Front::maxCallerTimeout).max().orElse(0), late);
+            open.stream().mapToLong(Front::maxCallerTimeout).max().orElse(0), maxDelay);
         if (open.isEmpty()) {
             then.run();
             return;
@@ -449,22 +450,22 @@
 
     @Override
     public void close() {
-        if (reaping != null) {
-            reaping.cancel(false);
+        if (closeRetiredTask != null) {
+            closeRetiredTask.cancel(false);
         }
-        doors.values().forEach(door -> door.front().close());
-        leavingFronts.forEach(Front::close);
+        boundListeners.values().forEach(bound -> bound.front().close());
+        retiredFronts.forEach(Front::close);
         pools.values().forEach(RunningPool::stop);
-        leavingPools.forEach(RunningPool::stop);
+        retiredPools.forEach(RunningPool::stop);
         files.shutdownNow();
     }
 
     InetSocketAddress adminAddress() {
-        return life.adminAddress();
+        return lifecycle.adminAddress();
     }
 
-    /** Ends at once. */
+    /** Stops immediately. */
     public void stop() {
-        life.stop();
+        lifecycle.stop();
     }
 }
--- a/src/main/java/onyxpaddle/serve/SighupHandler.java
+++ b/src/main/java/onyxpaddle/serve/SighupHandler.java
@@ -4,16 +4,16 @@
 import onyxpaddle.node.Log;
 
 /**
- * Catches SIGHUP, on which the JVM would end otherwise. The JDK's class for signals is called by reflection: it
- * is in a supported module, but javac warns of its name, and warnings are errors here.
+ * Handles SIGHUP, which would otherwise terminate the JVM. The JDK's signal class is called by reflection: it is in a
+ * supported module, but javac warns about its use, and the build treats warnings as errors.
  */
 final class SighupHandler {
     private SighupHandler() {
     }
 
     /**
-     * From now on SIGHUP install the action, on a thread of the JVM's own, in place of ending the process. A process that
-     * was started with SIGHUP ignored, as by nohup, never sees one: the JVM leaves it so, and this says it.
+     * Runs the action on SIGHUP instead of terminating the process; it runs on a thread of the JVM. In a process that was started
+     * with SIGHUP ignored, as by nohup, the JVM leaves the signal ignored; this is logged.
      */
     static void install(Runnable action) throws ReflectiveOperationException {
         Class<?> signal = Class.forName("sun.misc.Signal");
@@ -28,10 +28,10 @@
                 case "hashCode" -> System.identityHashCode(proxy);
                 default -> "SIGHUP handler";
             });
-        Object before = signal.getMethod("handle", signal, handlerType)
+        Object previous = signal.getMethod("handle", signal, handlerType)
             .invoke(null, signal.getConstructor(String.class).newInstance("HUP"), handler);
-        if (handlerType.getField("SIG_IGN").get(null).equals(before)) {
-            Log.line("SIGHUP is ignored, as this process was started so (by nohup?): it will not reload");
+        if (handlerType.getField("SIG_IGN").get(null).equals(previous)) {
+            Log.line("SIGHUP was ignored when this process started (nohup?), so it does not reload the configuration");
         }
     }
 }
