--- a/src/main/java/onyxpaddle/serve/SiteGates.java
+++ b/src/main/java/onyxpaddle/serve/SiteGates.java
@@ -28,28 +28,28 @@
 import onyxpaddle.siteplan.PlanFile;
 import onyxpaddle.siteplan.SitesReader;
 
-/** The gate of a node that is told of sites by a file of ours: a node that can't use it serves without, and says so. */
+/** Creates the gate of a node with a file about the loss of sites. If the file cannot be used, the node logs it and has no gate. */
 final class SiteGates {
     private static final double MS = 1e6;
-    private static final int MOST_TOLD = 10;
+    private static final int MAX_FAULTS_LOGGED = 10;
 
-    private static final Section ALL = section(
-        required("version", within(Kind.COUNT, 1, 1), "of this form"),
-        required("sites", plain(Kind.TEXT), "the sites' file, beside this one"),
-        required("plan", plain(Kind.TEXT), "the plan's file, beside this one"),
-        optional("confirm", within(Kind.SPAN, 0, 60_000 * MS), "500 ms", "how long a site stays suspected before it is lost"),
-        optional("hold", within(Kind.SPAN, 0, 600_000 * MS), "2 s", "how long a step of a return is held at the least"),
-        optional("silence", within(Kind.SPAN, MS, 60_000 * MS), "1 s", "how long an answer shows that a site is reached"));
+    private static final Section SCHEMA = section(
+        required("version", within(Kind.COUNT, 1, 1), "the version of this format"),
+        required("sites", plain(Kind.TEXT), "the file of the sites, relative to this file"),
+        required("plan", plain(Kind.TEXT), "the file of the plan, relative to this file"),
+        optional("confirm", within(Kind.SPAN, 0, 60_000 * MS), "500 ms", "how long a site is suspected before it counts as lost"),
+        optional("hold", within(Kind.SPAN, 0, 600_000 * MS), "2 s", "minimum duration of each step when a site returns"),
+        optional("silence", within(Kind.SPAN, MS, 60_000 * MS), "1 s", "how long after an answer a site counts as reachable"));
 
     private SiteGates() {
     }
 
-    /** Null where the file, or one that it names, has faults; they are in the log then. */
+    /** Null if the file, or one that it names, has faults; these are logged. */
     static SiteGate of(String file, Settings settings, long seed) {
         Faults faults = new Faults();
         SiteGate gate = read(Path.of(file), settings, seed, faults);
-        faults.list().stream().limit(MOST_TOLD).forEach(f -> Log.line("sites: " + f));
-        Log.line(gate == null ? "sites: serves without a plan for their loss" : "sites: a plan for their loss is loaded");
+        faults.list().stream().limit(MAX_FAULTS_LOGGED).forEach(f -> Log.line("sites: " + f));
+        Log.line(gate == null ? "sites: serving without a plan for the loss of sites" : "sites: the plan for the loss of sites is loaded");
         return gate;
     }
 
@@ -58,7 +58,7 @@
         if (value == null) {
             return null;
         }
-        ShapeCheck.check(value, ALL, faults);
+        ShapeCheck.check(value, SCHEMA, faults);
         View root = new View(value);
         Path folder = file.toAbsolutePath().getParent();
         if (faults.any()) {
--- a/src/main/java/onyxpaddle/watch/WatchClient.java
+++ b/src/main/java/onyxpaddle/watch/WatchClient.java
@@ -25,23 +25,24 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Calls one HTTP server, one GET at a time, over a connection that is kept from call to call. Each call has a bound for the connection,
- * for the answer's first byte, for a stall within it and for the whole of it; it ends in an answer or a failure, once, and neither after
- * {@link #disconnect} or {@link #stop}. All of it happens on the event loop.
+ * Client for long polling of one HTTP server: one GET at a time over a persistent connection. Each call has time-outs for connecting, for
+ * the first byte of the answer, for a stall within the answer and for the whole answer. It ends exactly once, in an answer or a failure,
+ * or in neither if {@link #disconnect} is called first. Confined to the event loop.
  */
 public final class WatchClient {
-    /** How long an answer that has begun may bring nothing, and how long it may take from then on; the caller bounds the whole. */
-    private static final int STALL_MS = 400;
-    private static final int LONGEST_ANSWER_MS = 1500;
-    private static final int CONNECT_MS = 500;
+    /** Time-out between two reads of an answer that has begun. */
+    private static final int STALL_TIMEOUT_MS = 400;
+    /** Time-out for an answer from its first byte on; the caller's time-out for the whole answer applies as well. */
+    private static final int ANSWER_TIMEOUT_MS = 1500;
+    private static final int CONNECT_TIMEOUT_MS = 500;
 
-    /** Hears how calls end, on the event loop. */
+    /** Receives the outcome of each call, on the event loop. */
     public interface Listener {
-        /** The answer, of any status; its buffer is released when this returns. */
+        /** An answer of any status; its buffer is released when this method returns. */
         void answered(FullHttpResponse response);
 
-        /** No answer, for this reason; {@code turnedAway}: there was no connection. */
-        void failed(String why, boolean turnedAway);
+        /** There is no answer, for this reason; {@code refused}: no connection could be established. */
+        void failed(String reason, boolean refused);
     }
 
     private final EventLoop loop;
@@ -50,85 +51,85 @@
     private final Listener listener;
     private Channel channel;
     private Future<?> timeout;
-    /** A call has been made and has not ended. */
+    /** A call is in progress. */
     private boolean calling;
-    /** When the first byte of the answer at hand came; 0 before. */
-    private long beganAt;
-    /** When the answer at hand has to be whole. */
-    private long wholeBy;
+    /** When the first byte of the current answer arrived; 0 before. */
+    private long firstByteAt;
+    /** When the current answer must be complete. */
+    private long answerDeadline;
 
-    /** {@code largestAnswer}: bytes of an answer's body beyond which it counts as broken; bounds what the caller can be made to hold. */
-    public WatchClient(EventLoop loop, ByteBufAllocator allocator, InetSocketAddress address, int largestAnswer, Listener listener) {
+    /** {@code maxAnswer}: maximum size of an answer's body in bytes; bounds the memory that a faulty server can make the caller use. */
+    public WatchClient(EventLoop loop, ByteBufAllocator allocator, InetSocketAddress address, int maxAnswer, Listener listener) {
         this.loop = loop;
         this.listener = listener;
         host = address.getAddress().getHostAddress() + ":" + address.getPort();
         bootstrap = new Bootstrap().group(loop).channel(NioSocketChannel.class)
             .option(ChannelOption.ALLOCATOR, allocator)
             .option(ChannelOption.TCP_NODELAY, true)
-            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS)
+            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
             .remoteAddress(address)
             .handler(new ChannelInitializer<Channel>() {
                 @Override
                 protected void initChannel(Channel ch) {
-                    ch.pipeline().addLast(new Progress(), new HttpClientCodec(), new HttpObjectAggregator(largestAnswer), new Answers());
+                    ch.pipeline().addLast(new ProgressHandler(), new HttpClientCodec(), new HttpObjectAggregator(maxAnswer),
+                        new AnswerHandler());
                 }
             });
     }
 
     /**
-     * Makes a call; the one before has ended. Both times count from when the request is written.
+     * Makes a call; the previous one must have ended. Both time-outs start when the request is written.
      *
-     * @param patienceMs how long the first byte of the answer may take
-     * @param wholeByMs how long the whole answer may take
+     * @param firstByteTimeoutMs time-out for the first byte of the answer
+     * @param totalTimeoutMs time-out for the whole answer
      */
-    public void call(String uri, int patienceMs, int wholeByMs) {
+    public void call(String uri, int firstByteTimeoutMs, int totalTimeoutMs) {
         calling = true;
         if (channel != null && channel.isActive()) {
-            write(uri, patienceMs, wholeByMs);
+            write(uri, firstByteTimeoutMs, totalTimeoutMs);
             return;
         }
-        ChannelFuture dial = bootstrap.connect();
-        channel = dial.channel();
-        dial.addListener(f -> {
-            if (channel != dial.channel()) {
-                dial.channel().close();
+        ChannelFuture connect = bootstrap.connect();
+        channel = connect.channel();
+        connect.addListener(f -> {
+            if (channel != connect.channel()) {
+                connect.channel().close();
             } else if (f.isSuccess()) {
-                write(uri, patienceMs, wholeByMs);
+                write(uri, firstByteTimeoutMs, totalTimeoutMs);
             } else {
-                failed(dial.channel(), "cannot connect", true);
+                failed(connect.channel(), "cannot connect", true);
             }
         });
     }
 
-    /** Lets go of the connection; a call that is out ends without a word, and the next one connects anew. */
+    /** Closes the connection; a call in progress ends without notice, and the next call opens a new connection. */
     public void disconnect() {
         calling = false;
         stopTimeout();
         if (channel != null) {
-            Channel dropped = channel;
+            Channel closing = channel;
             channel = null;
-            dropped.close();
+            closing.close();
         }
     }
 
-    private void write(String uri, int patienceMs, int wholeByMs) {
+    private void write(String uri, int firstByteTimeoutMs, int totalTimeoutMs) {
         DefaultFullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, uri, Unpooled.EMPTY_BUFFER);
         request.headers().set(HttpHeaderNames.HOST, host);
         Channel on = channel;
-        beganAt = 0;
+        firstByteAt = 0;
         long now = System.nanoTime();
-        wholeBy = now + TimeUnit.MILLISECONDS.toNanos(wholeByMs);
-        timeout = loop.schedule(() -> failed(on, "no answer", false), patienceMs, TimeUnit.MILLISECONDS);
+        answerDeadline = now + TimeUnit.MILLISECONDS.toNanos(totalTimeoutMs);
+        timeout = loop.schedule(() -> failed(on, "no answer", false), firstByteTimeoutMs, TimeUnit.MILLISECONDS);
         on.writeAndFlush(request);
     }
 
-    /** Ends a call that brought nothing. */
-    private void failed(Channel on, String why, boolean turnedAway) {
+    private void failed(Channel on, String reason, boolean refused) {
         if (!calling || on != channel) {
             return;
         }
         disconnect();
-        listener.failed(why, turnedAway);
+        listener.failed(reason, refused);
     }
 
     private void stopTimeout() {
@@ -144,7 +145,7 @@
             return;
         }
         if (response.status().code() == 200 && response.decoderResult().isFailure()) {
-            failed(on, "answered 200", false);
+            failed(on, "the answer cannot be decoded", false);
             return;
         }
         calling = false;
@@ -157,26 +158,26 @@
     }
 
     /**
-     * Watches bytes as they come. Guards against an answer that begins and stalls, which would be waited for while what it
-     * tells counts as told; should cover one that trickles, too. It does harm where a sound server pauses that long.
+     * Enforces the time-outs of an answer that has begun. Guards against an answer that stalls, or arrives in small pieces, while the
+     * change in it is due at the node. Drawback: fails the calls of a healthy server that pauses for that long.
      */
-    private final class Progress extends ChannelInboundHandlerAdapter {
+    private final class ProgressHandler extends ChannelInboundHandlerAdapter {
         @Override
         public void channelRead(ChannelHandlerContext context, Object message) {
             if (timeout != null && context.channel() == channel) {
                 long now = System.nanoTime();
-                beganAt = beganAt == 0 ? now : beganAt;
-                long left = Math.min(LONGEST_ANSWER_MS - TimeUnit.NANOSECONDS.toMillis(now - beganAt),
-                    TimeUnit.NANOSECONDS.toMillis(wholeBy - now));
+                firstByteAt = firstByteAt == 0 ? now : firstByteAt;
+                long remaining = Math.min(ANSWER_TIMEOUT_MS - TimeUnit.NANOSECONDS.toMillis(now - firstByteAt),
+                    TimeUnit.NANOSECONDS.toMillis(answerDeadline - now));
                 stopTimeout();
-                timeout = loop.schedule(() -> failed(context.channel(), "the answer stalls", false),
-                    Math.max(0, Math.min(STALL_MS, left)), TimeUnit.MILLISECONDS);
+                timeout = loop.schedule(() -> failed(context.channel(), "the answer stalled", false),
+                    Math.max(0, Math.min(STALL_TIMEOUT_MS, remaining)), TimeUnit.MILLISECONDS);
             }
             context.fireChannelRead(message);
         }
     }
 
-    private final class Answers extends SimpleChannelInboundHandler<FullHttpResponse> {
+    private final class AnswerHandler extends SimpleChannelInboundHandler<FullHttpResponse> {
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpResponse response) {
             answered(context.channel(), response);
@@ -185,7 +186,7 @@
         @Override
         public void channelInactive(ChannelHandlerContext context) {
             if (timeout != null) {
-                failed(context.channel(), "connection broke", false);
+                failed(context.channel(), "connection closed", false);
             }
         }
 
--- a/src/test/java/onyxpaddle/handover/HandoverMessageTest.java
+++ b/src/test/java/onyxpaddle/handover/HandoverMessageTest.java
@@ -18,7 +18,7 @@
 import onyxpaddle.BalancerApi.ServerSnapshot;
 import org.junit.jupiter.api.Test;
 
-/** What goes from process to process comes whole or not at all. */
+/** Guards against state that is lost or changed between processes: a message is read completely or refused. */
 class HandoverMessageTest {
     private static Map<String, BalancerSnapshot> memory(int servers) {
         Map<String, BalancerSnapshot> pools = new LinkedHashMap<>();
@@ -36,14 +36,14 @@
     }
 
     @Test
-    void comesAsItWent() throws IOException {
+    void readReturnsWhatWasWritten() throws IOException {
         assertEquals(memory(20), HandoverMessage.read(HandoverMessage.write(memory(20))));
         assertEquals(memory(0), HandoverMessage.read(HandoverMessage.write(memory(0))));
     }
 
-    /** More than a thousand servers, each with a full window and a name at its longest, are none too many. */
+    /** More than a thousand servers fit, each with a full sample window and a name of maximum length. */
     @Test
-    void everyServerOfALargeFleetIsTold() throws IOException {
+    void everyServerOfALargeFleetIsIncluded() throws IOException {
         List<ServerSnapshot> servers = new ArrayList<>();
         List<String> out = new ArrayList<>();
         for (int i = 0; i < 1_100; i++) {
@@ -60,17 +60,17 @@
     }
 
     @Test
-    void whatWouldBeTooLongLeavesServersOut() throws IOException {
+    void serversBeyondTheMaximumPayloadAreOmitted() throws IOException {
         byte[] message = HandoverMessage.write(memory(200_000));
-        assertTrue(message.length <= HandoverMessage.HEAD + HandoverMessage.LARGEST);
+        assertTrue(message.length <= HandoverMessage.HEADER_SIZE + HandoverMessage.MAX_PAYLOAD);
         BalancerSnapshot read = HandoverMessage.read(message).get("app");
         assertTrue(read.servers().size() > 500);
-        assertFalse(read.whole(), "that some are missing is told");
+        assertFalse(read.whole(), "the message tells that servers are missing");
         assertTrue(HandoverMessage.read(message).get("").whole());
     }
 
     @Test
-    void morePoolsThanMayBeAreNotTold() {
+    void tooManyPoolsAreRefused() {
         Map<String, BalancerSnapshot> pools = new LinkedHashMap<>();
         for (int i = 0; i < 65; i++) {
             pools.put("p" + i, known(0));
@@ -79,16 +79,16 @@
     }
 
     @Test
-    void tornAtAnyByteIsRefused() throws IOException {
+    void truncationAtAnyByteIsRefused() throws IOException {
         byte[] whole = HandoverMessage.write(memory(3));
         for (int length = 0; length < whole.length; length++) {
-            byte[] torn = Arrays.copyOf(whole, length);
-            assertThrows(IOException.class, () -> HandoverMessage.read(torn));
+            byte[] truncated = Arrays.copyOf(whole, length);
+            assertThrows(IOException.class, () -> HandoverMessage.read(truncated));
         }
     }
 
     @Test
-    void anyByteChangedIsRefused() throws IOException {
+    void changeOfAnyByteIsRefused() throws IOException {
         byte[] whole = HandoverMessage.write(memory(3));
         for (int at = 0; at < whole.length; at++) {
             byte[] changed = whole.clone();
@@ -98,7 +98,7 @@
     }
 
     @Test
-    void foreignOldAndHugeOnesSayWhy() {
+    void refusalOfOtherFormatsVersionsAndSizesGivesTheReason() {
         assertTrue(refusal("GET / HTTP/1.1\r\n\r\n".getBytes()).contains("not a handover"));
         assertTrue(refusal(head(HandoverMessage.MAGIC, 7, 10)).contains("version 7"));
         assertTrue(refusal(head(HandoverMessage.MAGIC, HandoverMessage.VERSION, Integer.MAX_VALUE)).contains("is the most"));
@@ -106,11 +106,11 @@
     }
 
     @Test
-    void sensibleBytesThatMakeNoSenseAreRefused() {
+    void invalidStateWithAValidChecksumIsRefused() {
         Random random = new Random(5);
-        String sound = "[42.5,true,3.25,1.0,3.0,[\"s\"],[[\"book\",1.0,1.0,0.0,0.0,0.0,7]],[[\"s\",1,2,0.5,1.0,3,0.0,4,0.5,1.0]]]";
+        String valid = "[42.5,true,3.25,1.0,3.0,[\"s\"],[[\"book\",1.0,1.0,0.0,0.0,0.0,7]],[[\"s\",1,2,0.5,1.0,3,0.0,4,0.5,1.0]]]";
         for (int i = 0; i < 20_000; i++) {
-            StringBuilder text = new StringBuilder(sound);
+            StringBuilder text = new StringBuilder(valid);
             for (int n = random.nextInt(3); n >= 0; n--) {
                 text.setCharAt(random.nextInt(text.length()), "[],\"-9eE.tn{}:x".charAt(random.nextInt(15)));
             }
--- a/src/test/java/onyxpaddle/membership/DiscoveryReturnTest.java
+++ b/src/test/java/onyxpaddle/membership/DiscoveryReturnTest.java
@@ -13,65 +13,66 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Discovery fails in every way, for any time, and is back: how soon each of thirty nodes holds its list, and how many call in one
- * moment. By a clock of the test's own; the decisions are those of the node, and of the module where discovery is asked.
+ * Discovery fails in various ways, for any time, and recovers. Guards against nodes that get the list more than 6 s later, and against
+ * many nodes calling at the same moment. Simulated time; the decisions are those of the node, and with a central discovery those of the
+ * balancer.
  */
 class DiscoveryReturnTest {
     private static final long MS = 1_000_000L;
     private static final long SECOND = 1000 * MS;
-    /** From when discovery has a change and can be reached, to when it counts as told. */
-    private static final long TOLD = 6 * SECOND;
+    /** A change must be delivered within this time after discovery has it and is reachable. */
+    private static final long DELIVERY_LIMIT = 6 * SECOND;
     private static final int NODES = 30;
     private static final long CONNECT_MS = 500;
 
     private enum Fault { REFUSED, UNREACHABLE, SILENT, RESET, TRICKLING, UNREADABLE }
 
-    private record Planned(long at, long number, Runnable what) implements Comparable<Planned> {
+    private record ScheduledEvent(long at, long sequence, Runnable action) implements Comparable<ScheduledEvent> {
         @Override
-        public int compareTo(Planned other) {
-            return at != other.at ? Long.compare(at, other.at) : Long.compare(number, other.number);
+        public int compareTo(ScheduledEvent other) {
+            return at != other.at ? Long.compare(at, other.at) : Long.compare(sequence, other.sequence);
         }
     }
 
-    private final PriorityQueue<Planned> plan = new PriorityQueue<>();
-    private final List<Long> callsAfterReturn = new ArrayList<>();
+    private final PriorityQueue<ScheduledEvent> events = new PriorityQueue<>();
+    private final List<Long> callsAfterRecovery = new ArrayList<>();
     private long now = 1000 * SECOND;
     private long count;
-    private long back;
-    /** Where one discovery works through the calls of all: until when it is busy, and for how long with each. */
+    private long recoveredAt;
+    /** Central discovery: until when it is busy, and how long it takes for each call. */
     private long busyUntil;
-    private long callTakes;
+    private long callDuration;
     private Random faults;
 
-    private void at(long when, Runnable what) {
-        plan.add(new Planned(when, count++, what));
+    private void at(long when, Runnable action) {
+        events.add(new ScheduledEvent(when, count++, action));
     }
 
     private final class Caller {
-        private final boolean asked;
+        private final boolean central;
         private final ListWatch watch;
-        private final RatioBalancer module;
+        private final RatioBalancer balancer;
         private boolean calling;
-        private long heardAt = -1;
+        private long listReceivedAt = -1;
 
-        private Caller(boolean asked, double askEvery, int self, long seed) {
-            this.asked = asked;
-            watch = new ListWatch(asked, 7, true, new SplittableRandom(seed));
+        private Caller(boolean central, double askEvery, int self, long seed) {
+            this.central = central;
+            watch = new ListWatch(central, 7, true, new SplittableRandom(seed));
             RequestClass read = new RequestClass("read", Effect.SAFE, KeyGroup.ALL, 0, SECOND, 0, SECOND, 1, 0, false);
-            module = new RatioBalancer(new Settings("a", List.of("a"), 0, self, NODES, List.of(read), List.of(), 1, false, asked,
+            balancer = new RatioBalancer(new Settings("a", List.of("a"), 0, self, NODES, List.of(read), List.of(), 1, false, central,
                 Weights.NONE, List.of(), 0, 2 * MS, new Limits(3, false, true, false, true, SECOND, SECOND),
                 new Rules(0.3, 5 * SECOND, 3, 2 * SECOND, 2 * SECOND, 0, (long) (askEvery * SECOND))), seed);
-            // It has watched for a while, and its watch is out.
-            watch.judge(true, 7, false);
-            tell(new Membership(ListKind.CACHED, List.of()));
-            tell(new Membership(ListKind.CHANGES, List.of()));
+            // The node has a list, and its watch is in progress.
+            watch.accept(true, 7, false);
+            handle(new Membership(ListKind.CACHED, List.of()));
+            handle(new Membership(ListKind.CHANGES, List.of()));
             at(now + faults.nextLong(2 * SECOND), this::call);
         }
 
-        private void tell(Event event) {
-            for (Action action : module.handle(now, event)) {
+        private void handle(Event event) {
+            for (Action action : balancer.handle(now, event)) {
                 if (action instanceof SetTimer timer) {
-                    at(now + timer.after(), () -> tell(new Timer(timer.token())));
+                    at(now + timer.after(), () -> handle(new Timer(timer.token())));
                 } else if (action instanceof Subscribe && !calling) {
                     call();
                 }
@@ -80,50 +81,50 @@
 
         private void call() {
             calling = true;
-            if (now >= back) {
-                callsAfterReturn.add(now);
+            if (now >= recoveredAt) {
+                callsAfterRecovery.add(now);
                 answered();
                 return;
             }
-            long patience = watch.patienceMs();
+            long firstByteTimeout = watch.firstByteTimeoutMs();
             switch (Fault.values()[faults.nextInt(Fault.values().length)]) {
-                case REFUSED -> at(now, () -> failed(true));
-                case UNREACHABLE -> at(now + CONNECT_MS * MS, () -> failed(true));
-                case SILENT -> at(now + patience * MS, () -> failed(false));
-                case RESET -> at(now + faults.nextLong(patience * MS), () -> failed(false));
-                case TRICKLING -> at(now + watch.wholeByMs() * MS, () -> failed(false));
-                case UNREADABLE -> at(now + faults.nextLong(patience * MS), () -> {
-                    watch.unreadable();
-                    failed(false);
+                case REFUSED -> at(now, () -> callFailed(true));
+                case UNREACHABLE -> at(now + CONNECT_MS * MS, () -> callFailed(true));
+                case SILENT -> at(now + firstByteTimeout * MS, () -> callFailed(false));
+                case RESET -> at(now + faults.nextLong(firstByteTimeout * MS), () -> callFailed(false));
+                case TRICKLING -> at(now + watch.totalTimeoutMs() * MS, () -> callFailed(false));
+                case UNREADABLE -> at(now + faults.nextLong(firstByteTimeout * MS), () -> {
+                    watch.markUnreadable();
+                    callFailed(false);
                 });
             }
         }
 
         private void answered() {
-            if (!asked) {
-                heard();
+            if (!central) {
+                listReceived();
                 return;
             }
-            long done = Math.max(now, busyUntil) + callTakes;
-            if (done - now > 2 * SECOND || done - now > watch.patienceMs() * MS) {
-                // It turns away what it would come to too late.
-                failed(true);
+            long done = Math.max(now, busyUntil) + callDuration;
+            if (done - now > 2 * SECOND || done - now > watch.firstByteTimeoutMs() * MS) {
+                // Discovery refuses calls that it would answer too late.
+                callFailed(true);
             } else {
                 busyUntil = done;
-                at(done, this::heard);
+                at(done, this::listReceived);
             }
         }
 
-        private void heard() {
-            heardAt = now;
-            watch.judge(true, 8, false);
+        private void listReceived() {
+            listReceivedAt = now;
+            watch.accept(true, 8, false);
         }
 
-        private void failed(boolean turnedAway) {
+        private void callFailed(boolean refused) {
             calling = false;
-            int pause = watch.failed(turnedAway);
-            if (pause == ListWatch.MODULE) {
-                tell(new Membership(ListKind.REFUSED, List.of()));
+            int pause = watch.backoffAfterFailure(refused);
+            if (pause == ListWatch.BALANCER_DECIDES) {
+                handle(new Membership(ListKind.REFUSED, List.of()));
             } else {
                 calling = true;
                 at(now + pause * MS, this::call);
@@ -131,49 +132,49 @@
         }
     }
 
-    /** {@code allCalls}: how long discovery takes for a call of each node, in seconds; 0 where each node has an agent of its own. */
+    /** {@code allCalls}: how long discovery takes for one call of every node, in seconds; 0 with an agent on each node. */
     @ParameterizedTest
     @CsvSource({"false, 10, 0", "true, 0.5, 1", "true, 10, 1", "true, 10, 2", "true, 60, 2"})
-    void everyNodeHearsWithinSixSecondsAndNotAllCallAtOnce(boolean asked, double askEvery, double allCalls) {
+    void everyNodeGetsTheListWithinSixSecondsAndCallsAreSpread(boolean central, double askEvery, double allCalls) {
         long latest = 0;
-        int most = 0;
+        int mostCalls = 0;
         for (int seed = 0; seed < 200; seed++) {
-            plan.clear();
-            callsAfterReturn.clear();
+            events.clear();
+            callsAfterRecovery.clear();
             faults = new Random(seed);
-            callTakes = (long) (allCalls * SECOND / NODES);
+            callDuration = (long) (allCalls * SECOND / NODES);
             busyUntil = 0;
-            // In the middle of anything: the first watch, a row of silent calls, the longest pauses.
-            back = now + faults.nextLong(1, 40 * SECOND);
+            // Recovers at any time: during the first watch, during a row of unanswered calls, during the longest pauses.
+            recoveredAt = now + faults.nextLong(1, 40 * SECOND);
             List<Caller> nodes = new ArrayList<>();
             for (int i = 0; i < NODES; i++) {
-                nodes.add(new Caller(asked, askEvery, i, faults.nextLong()));
+                nodes.add(new Caller(central, askEvery, i, faults.nextLong()));
             }
-            while (!plan.isEmpty() && nodes.stream().anyMatch(n -> n.heardAt < 0)) {
-                Planned next = plan.poll();
+            while (!events.isEmpty() && nodes.stream().anyMatch(n -> n.listReceivedAt < 0)) {
+                ScheduledEvent next = events.poll();
                 now = next.at;
-                next.what.run();
+                next.action.run();
             }
             for (Caller node : nodes) {
-                assertTrue(node.heardAt >= 0, "a node calls no more, seed " + seed);
-                latest = Math.max(latest, node.heardAt - back);
+                assertTrue(node.listReceivedAt >= 0, "a node has stopped calling, seed " + seed);
+                latest = Math.max(latest, node.listReceivedAt - recoveredAt);
             }
-            most = Math.max(most, mostWithin(50 * MS));
+            mostCalls = Math.max(mostCalls, mostWithin(50 * MS));
             now += 100 * SECOND;
         }
-        assertTrue(latest <= TOLD, "a node heard " + latest / 1e9 + " s after discovery was back");
-        assertTrue(most <= NODES / 3, most + " of " + NODES + " nodes called within 50 ms");
+        assertTrue(latest <= DELIVERY_LIMIT, "a node got the list " + latest / 1e9 + " s after discovery had recovered");
+        assertTrue(mostCalls <= NODES / 3, mostCalls + " of " + NODES + " nodes called within 50 ms");
     }
 
     private int mostWithin(long span) {
-        int most = 0;
+        int mostCalls = 0;
         int from = 0;
-        for (int i = 0; i < callsAfterReturn.size(); i++) {
-            while (callsAfterReturn.get(from) < callsAfterReturn.get(i) - span) {
+        for (int i = 0; i < callsAfterRecovery.size(); i++) {
+            while (callsAfterRecovery.get(from) < callsAfterRecovery.get(i) - span) {
                 from++;
             }
-            most = Math.max(most, i - from + 1);
+            mostCalls = Math.max(mostCalls, i - from + 1);
         }
-        return most;
+        return mostCalls;
     }
 }
--- a/src/test/java/onyxpaddle/membership/ListFileTest.java
+++ b/src/test/java/onyxpaddle/membership/ListFileTest.java
@@ -13,16 +13,16 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A list file is taken when it has stood still for two looks, once, and only if its reader finds it whole. */
+/** A list file is applied once, after it was unchanged between two polls, and only if it is valid. */
 class ListFileTest {
     @TempDir
     Path folder;
     private Path file;
-    private ListFile watched;
-    private final List<Long> taken = new ArrayList<>();
+    private ListFile listFile;
+    private final List<Long> applied = new ArrayList<>();
     private Runnable whileReading = () -> { };
 
-    /** Its lists are versions in digits; all else is at fault. */
+    /** A valid list is a version number in digits. */
     private Optional<ServerList> read(Path path) {
         try {
             String text = Files.readString(path);
@@ -35,56 +35,56 @@
     }
 
     @BeforeEach
-    void watch() throws IOException {
+    void readFirstList() throws IOException {
         file = Files.writeString(folder.resolve("list"), "1\n");
-        watched = new ListFile(file, this::read, roster -> taken.add(roster.seq()));
-        watched.readNow();
+        listFile = new ListFile(file, this::read, roster -> applied.add(roster.seq()));
+        listFile.readNow();
     }
 
     @Test
-    void aChangeIsTakenAtTheSecondLookAndNotAgain() throws IOException {
+    void changeIsAppliedOnceAtTheSecondPoll() throws IOException {
         Files.writeString(file, "22\n");
-        watched.look();
-        assertEquals(List.of(1L), taken);
-        watched.look();
-        watched.look();
-        assertEquals(List.of(1L, 22L), taken);
+        listFile.poll();
+        assertEquals(List.of(1L), applied);
+        listFile.poll();
+        listFile.poll();
+        assertEquals(List.of(1L, 22L), applied);
     }
 
     @Test
-    void aFileThatGrowsFromLookToLookIsLeftUntilItIsDone() throws IOException {
+    void fileThatGrowsBetweenPollsIsNotAppliedUntilItIsComplete() throws IOException {
         String text = "";
         for (int i = 0; i < 5; i++) {
             text += "3";
             Files.writeString(file, text);
-            watched.look();
+            listFile.poll();
         }
         Files.writeString(file, text + "\n");
-        watched.look();
-        assertEquals(List.of(1L), taken);
-        watched.look();
-        assertEquals(List.of(1L, 33333L), taken);
+        listFile.poll();
+        assertEquals(List.of(1L), applied);
+        listFile.poll();
+        assertEquals(List.of(1L, 33333L), applied);
     }
 
     @Test
-    void whatIsAtFaultOrGoneLeavesTheListAndABetterOneIsTaken() throws IOException {
+    void invalidOrDeletedFileKeepsTheListAndALaterValidOneIsApplied() throws IOException {
         Files.writeString(file, "half");
-        watched.look();
-        watched.look();
+        listFile.poll();
+        listFile.poll();
         Files.delete(file);
-        watched.look();
-        watched.look();
-        assertEquals(List.of(1L), taken);
+        listFile.poll();
+        listFile.poll();
+        assertEquals(List.of(1L), applied);
         Files.writeString(file, "4444\n");
-        watched.look();
-        watched.look();
-        assertEquals(List.of(1L, 4444L), taken);
+        listFile.poll();
+        listFile.poll();
+        assertEquals(List.of(1L, 4444L), applied);
     }
 
     @Test
-    void aFileThatChangesWhileItIsReadIsReadAgain() throws IOException {
+    void fileThatChangesWhileItIsReadIsReadAgain() throws IOException {
         Files.writeString(file, "half");
-        watched.look();
+        listFile.poll();
         whileReading = () -> {
             try {
                 Files.writeString(file, "55555\n");
@@ -93,10 +93,10 @@
             }
             whileReading = () -> { };
         };
-        watched.look();
-        assertEquals(List.of(1L), taken);
-        watched.look();
-        watched.look();
-        assertEquals(List.of(1L, 55555L), taken);
+        listFile.poll();
+        assertEquals(List.of(1L), applied);
+        listFile.poll();
+        listFile.poll();
+        assertEquals(List.of(1L, 55555L), applied);
     }
 }
--- a/src/test/java/onyxpaddle/membership/ListWatchTest.java
+++ b/src/test/java/onyxpaddle/membership/ListWatchTest.java
@@ -17,19 +17,19 @@
         return new ListWatch(false, seq, true, new SplittableRandom(seq));
     }
 
-    /** All calls fail in one moment, and each further one at once, as where discovery is down and refuses connections. */
+    /** All calls fail at the same moment, and later ones immediately, as when discovery is down and refuses connections. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
-    void callsThatFailTogetherComeBackSpreadAndEverRarer(long seed) {
+    void callsAfterACommonFailureAreSpreadAndBackOff(long seed) {
         int nodes = 200;
         Random seeds = new Random(seed);
         int[] perTenth = new int[100];
         int[] per20ms = new int[500];
         for (int i = 0; i < nodes; i++) {
             ListWatch watch = new ListWatch(false, 1, true, new SplittableRandom(seeds.nextLong()));
-            int now = watch.failed(false);
-            for (int before = 0; now < 10_000; now += watch.failed(false)) {
-                assertTrue(now - before <= 1000, "the next call comes after " + (now - before) + " ms");
+            int now = watch.backoffAfterFailure(false);
+            for (int before = 0; now < 10_000; now += watch.backoffAfterFailure(false)) {
+                assertTrue(now - before <= 1000, "the next call is made after " + (now - before) + " ms");
                 before = now;
                 perTenth[now / 100]++;
                 per20ms[now / 20]++;
@@ -44,67 +44,67 @@
     }
 
     @Test
-    void callsAreSoonAgainOnceOneHasBroughtAList() {
+    void backoffIsResetByAnAcceptedList() {
         ListWatch watch = at(4);
         for (int i = 0; i < 20; i++) {
-            watch.failed(false);
+            watch.backoffAfterFailure(false);
         }
-        assertNull(watch.judge(false, 5, true));
+        assertNull(watch.accept(false, 5, true));
         assertEquals(0, watch.failures());
-        assertTrue(watch.failed(false) <= 100);
+        assertTrue(watch.backoffAfterFailure(false) <= 100);
     }
 
     @Test
-    void emptyWholeListLeavesTheListHeldHoweverOftenItComes() {
+    void emptyFullListIsRejectedHoweverOftenItIsSent() {
         ListWatch watch = at(4);
         for (int i = 0; i < 5; i++) {
-            assertNotNull(watch.judge(true, 5 + i, true));
+            assertNotNull(watch.accept(true, 5 + i, true));
             assertEquals(4, watch.seq());
-            assertTrue(watch.asksForAll());
+            assertTrue(watch.needsFullList());
         }
-        assertNull(watch.judge(true, 9, false));
+        assertNull(watch.accept(true, 9, false));
     }
 
     @Test
-    void emptyWholeListCountsWhereNothingIsHeld() {
-        assertNull(new ListWatch(false, 0, false, new SplittableRandom(1)).judge(true, 1, true));
+    void emptyFullListIsAcceptedWithoutServers() {
+        assertNull(new ListWatch(false, 0, false, new SplittableRandom(1)).accept(true, 1, true));
     }
 
     @Test
-    void oneOlderListIsNotBelievedAndTwoAre() {
+    void olderListIsAcceptedOnlyTheSecondTimeInARow() {
         ListWatch watch = at(40);
-        assertNotNull(watch.judge(true, 39, false));
-        assertTrue(watch.asksForAll());
-        assertNull(watch.judge(true, 41, false));
-        assertNotNull(watch.judge(true, 3, false));
-        assertNotNull(watch.judge(false, 42, false), "changes between whole lists that disagree");
-        assertNotNull(watch.judge(true, 3, false), "the two are not in a row");
-        assertNotNull(watch.judge(true, 2, false), "it goes back further still");
-        assertNotNull(watch.judge(true, 2, true), "an empty one says nothing of the version");
-        assertNotNull(watch.judge(true, 2, false));
-        assertNull(watch.judge(true, 2, false));
+        assertNotNull(watch.accept(true, 39, false));
+        assertTrue(watch.needsFullList());
+        assertNull(watch.accept(true, 41, false));
+        assertNotNull(watch.accept(true, 3, false));
+        assertNotNull(watch.accept(false, 42, false), "changes between two older full lists");
+        assertNotNull(watch.accept(true, 3, false), "the two older lists are not consecutive");
+        assertNotNull(watch.accept(true, 2, false), "an even older list");
+        assertNotNull(watch.accept(true, 2, true), "an empty list does not confirm a version");
+        assertNotNull(watch.accept(true, 2, false));
+        assertNull(watch.accept(true, 2, false));
         assertEquals(2, watch.seq());
-        assertFalse(watch.asksForAll());
+        assertFalse(watch.needsFullList());
     }
 
     @Test
-    void anyVersionCountsFromAnotherDiscovery() {
+    void anyVersionIsAcceptedFromAReplacedDiscovery() {
         ListWatch watch = at(40);
-        watch.anew();
-        assertNotNull(watch.judge(false, 41, false));
-        assertNull(watch.judge(true, 1, false));
-        assertNotNull(watch.judge(true, 0, false));
+        watch.resetVersion();
+        assertNotNull(watch.accept(false, 41, false));
+        assertNull(watch.accept(true, 1, false));
+        assertNotNull(watch.accept(true, 0, false));
     }
 
     @Test
-    void changesCountOnlyOnTopOfTheListHeld() {
+    void changesApplyToTheCurrentListOnly() {
         ListWatch watch = at(40);
-        assertNotNull(watch.judge(false, 39, false));
-        assertNotNull(watch.judge(false, 41, false));
-        assertNull(watch.judge(true, 41, false));
-        assertNull(watch.judge(false, 41, true));
-        watch.unreadable();
-        assertNotNull(watch.judge(false, 42, false));
-        assertNull(watch.judge(true, 42, false));
+        assertNotNull(watch.accept(false, 39, false));
+        assertNotNull(watch.accept(false, 41, false));
+        assertNull(watch.accept(true, 41, false));
+        assertNull(watch.accept(false, 41, true));
+        watch.markUnreadable();
+        assertNotNull(watch.accept(false, 42, false));
+        assertNull(watch.accept(true, 42, false));
     }
 }
