--- a/src/main/java/onyxpaddle/distribution/ConfigurationOverlay.java
+++ b/src/main/java/onyxpaddle/distribution/ConfigurationOverlay.java
@@ -17,10 +17,11 @@
 import onyxpaddle.config.Value.Sequence;
 
 /**
- * Lays entries over a node's own configuration: those of the fleet first, then those of its service, then its own. An entry puts its
- * section in the place of the one that was there; one whose text is {@code null} takes it away. Places of what comes from an entry name
- * the entry's key, so that a fault leads to it: {@code service/booking/pools.records:2:5: pools.records.attempts: ...}. Whether the
- * result makes sense is checked by whoever reads it as a configuration.
+ * Merges distributed entries into a node's own configuration: fleet entries first, then those of its service, then those of the
+ * node. An entry replaces the section of the same key; an entry whose YAML text is {@code null} removes it. Values that come
+ * from an entry carry the entry's key as their place, so that a fault points to the entry: {@code
+ * service/booking/pools.records:2:5: pools.records.attempts: ...}. The merged result is validated by the code that reads it as
+ * a configuration.
  */
 public final class ConfigurationOverlay {
     private final Faults faults;
@@ -34,10 +35,10 @@
     }
 
     /**
-     * The tree with the entries laid over it; {@code base} is not changed.
+     * Returns the configuration with the entries applied; {@code base} is not changed.
      *
-     * @param entries at most one for a key, in any order, without removed ones
-     * @param faults where an entry can't be laid over, such as one whose text is not YAML; it is left out of the result then
+     * @param entries at most one per key, in any order; removed entries are ignored
+     * @param faults receives entries that cannot be applied, such as text that is not YAML; these are left out of the result
      */
     public static Value apply(Value base, List<Entry> entries, Faults faults) {
         if (!(base instanceof Mapping mapping)) {
@@ -49,12 +50,12 @@
     }
 
     /**
-     * Faults of a tree with entries laid over it, those first that stand in an entry: a fault in the node's own file, such as a
-     * pool that no route leads to, is often but what follows from one.
+     * Orders the faults of a merged configuration, faults in entries before faults in the node's own file: the latter, such as
+     * a pool without a route, are often a consequence of the former.
      */
     public static List<Fault> entryFaultsFirst(List<Entry> entries, List<Fault> faults) {
-        Set<String> laid = entries.stream().map(entry -> entry.key().toString()).collect(Collectors.toSet());
-        return faults.stream().sorted(Comparator.comparing(fault -> !laid.contains(fault.place().file()))).toList();
+        Set<String> entryKeys = entries.stream().map(entry -> entry.key().toString()).collect(Collectors.toSet());
+        return faults.stream().sorted(Comparator.comparing(fault -> !entryKeys.contains(fault.place().file()))).toList();
     }
 
     private void apply(Entry entry) {
@@ -68,33 +69,34 @@
         if (parsed == null) {
             return;
         }
-        Value value = parsed instanceof Scalar scalar && scalar.blank() ? null : below(parsed, key.path());
+        Value value = parsed instanceof Scalar scalar && scalar.blank() ? null : withPathPrefix(parsed, key.path());
         if (key.sectionName() == null) {
             put(values, keys, key.topKey(), value, place);
         } else {
-            layNamed(key, value, place);
+            applySection(key, value, place);
         }
     }
 
-    private void layNamed(EntryKey key, Value value, Place place) {
-        Value at = values.get(key.topKey());
-        if (at != null && !(at instanceof Mapping) && !(at instanceof Scalar scalar && scalar.blank())) {
-            faults.add(place, key.path(), "`" + key.topKey() + "` is " + at.kind() + " at " + at.place() + ", which holds no sections",
-                "an entry for all of `" + key.topKey() + "`");
+    private void applySection(EntryKey key, Value value, Place place) {
+        Value existing = values.get(key.topKey());
+        if (existing != null && !(existing instanceof Mapping) && !(existing instanceof Scalar scalar && scalar.blank())) {
+            faults.add(place, key.path(), "`" + key.topKey() + "` is " + existing.kind() + " at " + existing.place()
+                + ", which has no named sections", "an entry for all of `" + key.topKey() + "`");
             return;
         }
-        if (at == null && value == null) {
+        if (existing == null && value == null) {
             return;
         }
         Map<String, Value> sections = new LinkedHashMap<>();
-        Map<String, Place> names = new LinkedHashMap<>();
-        if (at instanceof Mapping mapping) {
+        Map<String, Place> sectionPlaces = new LinkedHashMap<>();
+        if (existing instanceof Mapping mapping) {
             sections.putAll(mapping.values());
-            names.putAll(mapping.keys());
+            sectionPlaces.putAll(mapping.keys());
         }
-        put(sections, names, key.sectionName(), value, place);
-        Place around = at == null ? place : at.place();
-        put(values, keys, key.topKey(), new Mapping(around, key.topKey(), sections, names), keys.getOrDefault(key.topKey(), place));
+        put(sections, sectionPlaces, key.sectionName(), value, place);
+        Place mappingPlace = existing == null ? place : existing.place();
+        put(values, keys, key.topKey(), new Mapping(mappingPlace, key.topKey(), sections, sectionPlaces),
+            keys.getOrDefault(key.topKey(), place));
     }
 
     private static void put(Map<String, Value> values, Map<String, Place> keys, String name, Value value, Place place) {
@@ -107,23 +109,23 @@
         }
     }
 
-    /** The same value as one that lies below a path. */
-    private static Value below(Value value, String path) {
+    /** Copies a value with its path moved below {@code path}. */
+    private static Value withPathPrefix(Value value, String path) {
         if (value instanceof Scalar scalar) {
-            return new Scalar(scalar.place(), joined(path, scalar.path()), scalar.text(), scalar.quoted());
+            return new Scalar(scalar.place(), joinPath(path, scalar.path()), scalar.text(), scalar.quoted());
         }
         if (value instanceof Sequence sequence) {
             List<Value> items = new ArrayList<>();
-            sequence.items().forEach(item -> items.add(below(item, path)));
-            return new Sequence(sequence.place(), joined(path, sequence.path()), items);
+            sequence.items().forEach(item -> items.add(withPathPrefix(item, path)));
+            return new Sequence(sequence.place(), joinPath(path, sequence.path()), items);
         }
         Mapping mapping = (Mapping) value;
         Map<String, Value> values = new LinkedHashMap<>();
-        mapping.values().forEach((name, below) -> values.put(name, below(below, path)));
-        return new Mapping(mapping.place(), joined(path, mapping.path()), values, mapping.keys());
+        mapping.values().forEach((name, child) -> values.put(name, withPathPrefix(child, path)));
+        return new Mapping(mapping.place(), joinPath(path, mapping.path()), values, mapping.keys());
     }
 
-    private static String joined(String path, String below) {
-        return below.isEmpty() || below.startsWith("[") ? path + below : path + "." + below;
+    private static String joinPath(String path, String child) {
+        return child.isEmpty() || child.startsWith("[") ? path + child : path + "." + child;
     }
 }
--- a/src/main/java/onyxpaddle/distribution/ConfigurationVersion.java
+++ b/src/main/java/onyxpaddle/distribution/ConfigurationVersion.java
@@ -5,44 +5,43 @@
 import java.util.regex.Pattern;
 
 /**
- * Which state of the configuration something holds: the epoch of the publisher that made it, and its number. Numbers go on
- * rising over epochs, so that epoch 2 begins at the number after the last one that its publisher took over.
+ * A version of the configuration: the epoch of the publisher that created it and a sequence number. The number keeps increasing
+ * across epochs: a new epoch continues after the last number that its publisher took over.
  *
  * @param epoch 0 for {@link #NONE} only, at most {@link #MAX}
  * @param number from 0 to {@link #MAX}
  */
 public record ConfigurationVersion(long epoch, long number) implements Comparable<ConfigurationVersion> {
-    /** The largest epoch and number: 15 digits, which JSON readers of all languages hold exactly. */
+    /** Largest epoch and number: 15 digits, which JSON parsers in all languages represent exactly. */
     public static final long MAX = 999_999_999_999_999L;
-    /** Before the first version: nothing is known. */
+    /** The version before the first one. */
     public static final ConfigurationVersion NONE = new ConfigurationVersion(0, 0);
 
-    private static final Pattern TEXT = Pattern.compile("([0-9]{1,15})\\.([0-9]{1,15})");
+    private static final Pattern FORMAT = Pattern.compile("([0-9]{1,15})\\.([0-9]{1,15})");
     private static final Comparator<ConfigurationVersion> ORDER =
         Comparator.comparingLong(ConfigurationVersion::epoch).thenComparingLong(ConfigurationVersion::number);
 
-    /** @throws IllegalArgumentException for what is out of bounds, or a number without an epoch */
+    /** @throws IllegalArgumentException if a value is out of range, or the epoch is 0 and the number is not */
     public ConfigurationVersion {
         boolean within = epoch >= 0 && epoch <= MAX && number >= 0 && number <= MAX;
         if (!within || epoch == 0 && number != 0) {
-            throw new IllegalArgumentException("no version: epoch " + epoch + ", number " + number);
+            throw new IllegalArgumentException("invalid version: epoch " + epoch + ", number " + number);
         }
     }
 
     /**
-     * Reads {@code E.N}.
+     * Parses {@code E.N}.
      *
-     * @throws IllegalArgumentException with a message for people, where the text is no version
+     * @throws IllegalArgumentException with a message for users
      */
     public static ConfigurationVersion parse(String text) {
-        Matcher matcher = TEXT.matcher(text);
+        Matcher matcher = FORMAT.matcher(text);
         if (!matcher.matches()) {
-            throw new IllegalArgumentException("`" + Shortened.of(text) + "` is no version; such as `1.42`");
+            throw new IllegalArgumentException("`" + Excerpt.of(text) + "` is not a version, expected `EPOCH.NUMBER` such as `1.42`");
         }
         return new ConfigurationVersion(Long.parseLong(matcher.group(1)), Long.parseLong(matcher.group(2)));
     }
 
-    /** Whether this one comes later than the other. */
     public boolean isAfter(ConfigurationVersion other) {
         return compareTo(other) > 0;
     }
@@ -52,7 +51,7 @@
         return ORDER.compare(this, other);
     }
 
-    /** {@code E.N}. */
+    /** Returns {@code E.N}. */
     @Override
     public String toString() {
         return epoch + "." + number;
--- a/src/main/java/onyxpaddle/distribution/ConfigurationWatch.java
+++ b/src/main/java/onyxpaddle/distribution/ConfigurationWatch.java
@@ -20,31 +20,32 @@
 import onyxpaddle.watch.WatchClient;
 
 /**
- * Follows the configuration that control processes tell: one GET at a time, from the version held, at the replica that a
- * {@link ReplicaSelector} names. Puts pages together and hands on whole updates alone; an answer that is broken, late, unreadable or
- * older than what is held changes nothing. All of it happens on the event loop, but {@link #start} and {@link #stop}.
+ * Watches the configuration of the control processes by long polling: one GET at a time, from the current version, at the
+ * replica that a {@link ReplicaSelector} chooses. Assembles pages and passes on complete updates only; an answer that is
+ * truncated, late, malformed or older than the current version changes nothing. Everything but {@link #start} and {@link #stop}
+ * runs on the event loop.
  */
 public final class ConfigurationWatch {
     /**
-     * The least time from one call to the next after an answer, in milliseconds. In a burst of changes it bounds what they cost: a client
-     * takes several with one answer. It adds this much to how late the second of two changes comes.
+     * Minimum time between the start of an answered call and the next call, in milliseconds. It bounds the cost of a burst of
+     * changes, as one answer then carries several of them, and delays the second of two changes by at most this much.
      */
-    private static final int LEAST_INTERVAL_MS = 250;
-    /** How long after the latest moment at which it may begin an answer is whole, in milliseconds. */
-    private static final int REST_MS = 1500;
+    private static final int MIN_CALL_INTERVAL_MS = 250;
+    /** How long the transfer of an answer may take after the latest time at which it may begin, in milliseconds. */
+    private static final int TRANSFER_MS = 1500;
     private static final int OK = 200;
     private static final int SERVICE_UNAVAILABLE = 503;
-    private static final int LONGEST_REASON = 200;
+    private static final int MAX_REASON_LENGTH = 200;
 
-    /** Holds what the watch brings. Asked and told on the event loop, so nothing of it may block. */
+    /** Holds the configuration that the watch updates. Called on the event loop, so implementations must not block. */
     public interface Receiver {
-        /** The version up to which updates were taken; {@code NONE} before the first. */
+        /** The version up to which updates were received; {@code NONE} before the first. */
         ConfigurationVersion currentVersion();
 
-        /** Takes an update, without {@code more}, and says what it did. */
+        /** Applies a complete update and returns its effect. */
         ConfigurationTable.Outcome receive(Update update);
 
-        /** Further parameters for the next call, each with {@code &} before it; empty for none. */
+        /** Additional query parameters for the next call, each prefixed with {@code &}; empty for none. */
         String reportParameters();
     }
 
@@ -55,21 +56,22 @@
     private final String identity;
     private final Receiver receiver;
     private final WatchClient[] connections;
-    /** Replicas of which it was said that they are behind, since they last were not. */
-    private final boolean[] toldBehind;
-    private final UpdateAssembler assembly = new UpdateAssembler();
-    private ConfigurationVersion lastPage = ConfigurationVersion.NONE;
-    /** What is held can't be gone on from: the next call asks for a whole. */
-    private boolean asksForWhole;
+    /** By replica, whether it was logged as behind since it last answered. */
+    private final boolean[] behindLogged;
+    private final UpdateAssembler assembler = new UpdateAssembler();
+    private ConfigurationVersion lastPageChange = ConfigurationVersion.NONE;
+    /** The last delta could not be applied to the current version: the next call requests a full update. */
+    private boolean fullUpdateNeeded;
     private Call call;
     private long calledAt;
     private int failures;
-    private Future<?> nextCall;
+    private Future<?> pendingCall;
     private boolean stopped;
 
     /**
-     * {@code replicas}: as the selector was told of them, in the same order; {@code identity}: who calls and what is of subscription, as
-     * parameters: {@code node=N&service=S} or {@code scope=all&replica=ID}.
+     * @param replicas the replicas that the selector was created with, in the same order
+     * @param identity the caller and its subscription as query parameters: {@code node=N&service=S} or
+     *     {@code scope=all&replica=ID}
      */
     public ConfigurationWatch(EventLoop loop, ByteBufAllocator allocator, List<InetSocketAddress> replicas, ReplicaSelector selector,
             String identity, Receiver receiver) {
@@ -80,20 +82,19 @@
         this.identity = identity;
         this.receiver = receiver;
         connections = new WatchClient[replicas.size()];
-        toldBehind = new boolean[replicas.size()];
+        behindLogged = new boolean[replicas.size()];
     }
 
-    /** Makes the first call. */
     public void start() {
-        loop.execute(() -> follow(selector.firstCall()));
+        loop.execute(() -> scheduleCall(selector.firstCall()));
     }
 
-    /** Ends it for good: no call is made, and no answer taken, after the loop has come to this. */
+    /** Stops the watch permanently: once the loop has run this, no call is made and no answer is processed. */
     public void stop() {
         loop.execute(() -> {
             stopped = true;
-            if (nextCall != null) {
-                nextCall.cancel(false);
+            if (pendingCall != null) {
+                pendingCall.cancel(false);
             }
             for (WatchClient connection : connections) {
                 if (connection != null) {
@@ -105,19 +106,19 @@
 
     // ---- calls ----
 
-    private void follow(Call next) {
+    private void scheduleCall(Call next) {
         if (stopped) {
             return;
         }
         if (call != null && next.replica() != call.replica()) {
-            // Pages of one replica don't go on at another.
-            assembly.clear();
+            // Pages of one replica cannot be continued at another.
+            assembler.clear();
         }
         call = next;
         if (next.delay() == 0) {
             send();
         } else {
-            nextCall = loop.schedule(this::send, next.delay(), TimeUnit.NANOSECONDS);
+            pendingCall = loop.schedule(this::send, next.delay(), TimeUnit.NANOSECONDS);
         }
     }
 
@@ -126,13 +127,13 @@
             return;
         }
         if (!call.probe()) {
-            keepOnly(call.replica());
+            disconnectOthers(call.replica());
         }
         calledAt = System.nanoTime();
-        connection(call.replica()).call(uri(), call.patienceMs(), call.patienceMs() + REST_MS);
+        connection(call.replica()).call(uri(), call.responseTimeoutMs(), call.responseTimeoutMs() + TRANSFER_MS);
     }
 
-    private void keepOnly(int replica) {
+    private void disconnectOthers(int replica) {
         for (int i = 0; i < connections.length; i++) {
             if (i != replica && connections[i] != null) {
                 connections[i].disconnect();
@@ -143,29 +144,29 @@
 
     private WatchClient connection(int replica) {
         if (connections[replica] == null) {
-            connections[replica] = new WatchClient(loop, allocator, replicas.get(replica), UpdateJson.MAX_BYTES, new Ends(replica));
+            connections[replica] = new WatchClient(loop, allocator, replicas.get(replica), UpdateJson.MAX_BYTES, new CallListener(replica));
         }
         return connections[replica];
     }
 
     private String uri() {
-        ConfigurationVersion after = asksForWhole ? ConfigurationVersion.NONE : receiver.currentVersion();
+        ConfigurationVersion after = fullUpdateNeeded ? ConfigurationVersion.NONE : receiver.currentVersion();
         String page = "";
-        if (assembly.inProgress()) {
-            after = lastPage;
-            page = assembly.firstPageVersion().equals(ConfigurationVersion.NONE) ? "" : "&page_of=" + assembly.firstPageVersion();
+        if (assembler.inProgress()) {
+            after = lastPageChange;
+            page = assembler.firstPageVersion().equals(ConfigurationVersion.NONE) ? "" : "&page_of=" + assembler.firstPageVersion();
         }
         return "/v1/configuration?" + identity + "&epoch=" + after.epoch() + "&after=" + after.number() + page + "&wait_ms="
             + call.waitMs() + receiver.reportParameters();
     }
 
-    // ---- how calls end ----
+    // ---- results of calls ----
 
-    /** Hears how the calls to one replica end. */
-    private final class Ends implements WatchClient.Listener {
+    /** Receives the results of the calls to one replica. */
+    private final class CallListener implements WatchClient.Listener {
         private final int replica;
 
-        private Ends(int replica) {
+        private CallListener(int replica) {
             this.replica = replica;
         }
 
@@ -176,25 +177,25 @@
             }
             switch (response.status().code()) {
                 case OK -> read(ByteBufUtil.getBytes(response.content()));
-                case SERVICE_UNAVAILABLE -> end(new Busy(retryAfter(response)), "is busy");
-                default -> end(new Failed(), "answered " + response.status().code() + ": " + reason(response));
+                case SERVICE_UNAVAILABLE -> finish(new Busy(retryAfter(response)), "busy (answered 503)");
+                default -> finish(new Failed(), "answered " + response.status().code() + ": " + reason(response));
             }
         }
 
         @Override
         public void failed(String why, boolean turnedAway) {
             if (!stopped && replica == call.replica()) {
-                end(new Failed(), why);
+                finish(new Failed(), why);
             }
         }
     }
 
     private static String reason(FullHttpResponse response) {
         String body = response.content().toString(StandardCharsets.UTF_8);
-        return body.substring(0, Math.min(LONGEST_REASON, body.length()));
+        return body.substring(0, Math.min(MAX_REASON_LENGTH, body.length()));
     }
 
-    /** Seconds; 0 where it is not there or no number. A date, which the header may hold too, is not used by control processes. */
+    /** Seconds; 0 if the header is missing or not a number. Its date format is not used by control processes. */
     private static long retryAfter(FullHttpResponse response) {
         String text = response.headers().get(HttpHeaderNames.RETRY_AFTER);
         try {
@@ -209,88 +210,88 @@
         try {
             page = UpdateJson.read(bytes);
         } catch (MalformedUpdateException e) {
-            end(new Failed(), "answered what is no update: " + e.getMessage());
+            finish(new Failed(), "answered with an invalid update: " + e.getMessage());
             return;
         }
         if (receiver.currentVersion().isAfter(page.version())) {
-            behind(page.version());
+            replicaBehind(page.version());
             return;
         }
-        if (page.more() && !goesOn(page)) {
-            end(new Failed(), "told a page that leads no further");
+        if (page.more() && !advances(page)) {
+            finish(new Failed(), "answered with a page that makes no progress");
             return;
         }
         Update update;
         try {
-            update = assembly.add(page);
+            update = assembler.add(page);
         } catch (IllegalStateException e) {
-            end(new Failed(), e.getMessage());
+            finish(new Failed(), e.getMessage());
             return;
         }
         if (update == null) {
-            lastPage = page.lastChange();
-            end(new Answered(page.staleMs(), true), null);
+            lastPageChange = page.lastChange();
+            finish(new Answered(page.staleMs(), true), null);
         } else {
-            take(update);
+            apply(update);
         }
     }
 
-    /** Whether the page after this one will be another one. */
-    private boolean goesOn(Update page) {
-        return !page.entries().isEmpty() && (page.full() || !assembly.inProgress() || page.lastChange().isAfter(lastPage));
+    /** Whether the request for the next page would differ from the last one. */
+    private boolean advances(Update page) {
+        return !page.entries().isEmpty() && (page.full() || !assembler.inProgress() || page.lastChange().isAfter(lastPageChange));
     }
 
-    private void take(Update update) {
+    private void apply(Update update) {
         switch (receiver.receive(update)) {
             case APPLIED, UNCHANGED -> {
-                asksForWhole = false;
-                end(new Answered(update.staleMs(), false), null);
+                fullUpdateNeeded = false;
+                finish(new Answered(update.staleMs(), false), null);
             }
-            case BEHIND -> behind(update.version());
+            case BEHIND -> replicaBehind(update.version());
             case GAP -> {
-                asksForWhole = true;
-                end(new Failed(), "told changes to a version that is not held");
+                fullUpdateNeeded = true;
+                finish(new Failed(), "answered with a delta to a version that is not held; requesting a full update");
             }
             default -> throw new IllegalStateException();
         }
     }
 
-    private void behind(ConfigurationVersion version) {
-        if (!toldBehind[call.replica()]) {
-            toldBehind[call.replica()] = true;
-            Log.line("configuration: " + name(call.replica()) + " is at " + version + ", older than " + receiver.currentVersion()
-                + ", which is held on to");
+    private void replicaBehind(ConfigurationVersion version) {
+        if (!behindLogged[call.replica()]) {
+            behindLogged[call.replica()] = true;
+            Log.line("configuration: " + addressOf(call.replica()) + " is at " + version + ", older than " + receiver.currentVersion()
+                + ", which is kept");
         }
-        end(new Behind(), null);
+        finish(new Behind(), null);
     }
 
-    /** Goes on to the next call; {@code why}: what is wrong with this one, for people, null where nothing is to be said. */
-    private void end(Outcome outcome, String why) {
+    /** Continues with the next call; {@code why}: the failure to log, {@code null} for none. */
+    private void finish(Outcome outcome, String why) {
         int replica = call.replica();
-        boolean sound = outcome instanceof Answered;
-        if (!sound) {
-            assembly.clear();
+        boolean answered = outcome instanceof Answered;
+        if (!answered) {
+            assembler.clear();
             connections[replica].disconnect();
             if (failures == 0 && why != null) {
-                Log.line("configuration: " + name(replica) + ": " + why);
+                Log.line("configuration: " + addressOf(replica) + ": " + why);
             }
         } else if (failures > 0) {
-            Log.line("configuration: " + name(replica) + " answers after " + failures + " failed calls");
+            Log.line("configuration: " + addressOf(replica) + " answered after " + failures + " failed calls");
         }
-        toldBehind[replica] &= !sound;
+        behindLogged[replica] &= !answered;
         long now = System.nanoTime();
         Call next = selector.nextCall(now, outcome);
         failures = selector.failures();
-        follow(outcome instanceof Answered answered && !answered.more() && !next.probe() ? spaced(now, next) : next);
+        scheduleCall(outcome instanceof Answered answer && !answer.more() && !next.probe() ? withMinInterval(now, next) : next);
     }
 
-    private String name(int replica) {
+    private String addressOf(int replica) {
         InetSocketAddress address = replicas.get(replica);
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 
-    private Call spaced(long now, Call next) {
-        long left = TimeUnit.MILLISECONDS.toNanos(LEAST_INTERVAL_MS) - (now - calledAt);
+    private Call withMinInterval(long now, Call next) {
+        long left = TimeUnit.MILLISECONDS.toNanos(MIN_CALL_INTERVAL_MS) - (now - calledAt);
         return left <= next.delay() ? next : new Call(next.replica(), left, next.waitMs(), next.probe());
     }
 }
--- a/src/main/java/onyxpaddle/distribution/FullUpdatePacer.java
+++ b/src/main/java/onyxpaddle/distribution/FullUpdatePacer.java
@@ -5,71 +5,74 @@
 import java.util.PriorityQueue;
 
 /**
- * Spreads whole answers over time, so that a fleet that needs them all at once does not fill the machine's link: a bucket of
- * bytes that refills at a stated rate. Who is turned away is told when its turn comes and has it reserved until then and for
- * {@link #GRACE_NANOS} longer, so that callers are served in the order in which they first came and no one tries for nothing.
+ * Rate-limits full updates, so that a fleet that needs them all at once does not saturate the machine's link: a token bucket of
+ * bytes. A caller that is deferred is told when to come back and has a reservation for that time and {@link #GRACE_NANOS}
+ * longer, so that callers are served in the order of their first request and none comes back in vain.
  *
- * <p>Over any time t at most rate × (t + burst + grace) bytes and one answer are admitted, as turns that were not used in time
- * are used together at worst. Not for several threads.
+ * <p>Over any time t, at most rate × (t + burst + grace) bytes plus one answer are admitted: in the worst case, reservations
+ * not used on time are used together. Not thread-safe.
  */
 public final class FullUpdatePacer {
-    /** How late a caller may come to its turn: Retry-After has whole seconds, and callers draw up to one more on top of it. */
+    /**
+     * How late a caller may use its reservation: Retry-After has whole seconds, and callers add a random delay of up to one
+     * more.
+     */
     public static final long GRACE_NANOS = 3_000_000_000L;
-    /** The bucket's depth, as time at the rate. */
+    /** The bucket size, as time at the rate. */
     public static final long BURST_NANOS = 250_000_000L;
-    /** The most reserved turns. Who comes beyond is told a time without a turn. */
-    public static final int MOST_RESERVED = 8_192;
+    /** Maximum number of reservations; further callers are deferred without one. */
+    public static final int MAX_RESERVATIONS = 8_192;
 
     private static final double NANOS = 1e9;
 
-    /** Whether an answer goes now. */
+    /** Whether an answer may be sent now. */
     public sealed interface Decision permits Admitted, Deferred {
     }
 
-    /** It goes now. */
+    /** The answer may be sent now. */
     public record Admitted() implements Decision {
     }
 
-    /** It is to be asked for again after this time. */
+    /** The answer is to be requested again after this time. */
     public record Deferred(long waitNanos) implements Decision {
     }
 
-    private record Turn(String caller, long at) {
+    private record Reservation(String caller, long at) {
     }
 
     private final double bytesPerSecond;
-    private final Map<String, Turn> turns = new HashMap<>();
-    private final PriorityQueue<Turn> byTime = new PriorityQueue<>((a, b) -> Long.compare(a.at(), b.at()));
-    /** When all that was admitted or reserved has passed, at the rate. */
+    private final Map<String, Reservation> reservations = new HashMap<>();
+    private final PriorityQueue<Reservation> byTime = new PriorityQueue<>((a, b) -> Long.compare(a.at(), b.at()));
+    /** When everything admitted or reserved will have been sent at the rate. */
     private long busyUntil;
-    private boolean begun;
+    private boolean started;
 
-    /** @param bytesPerSecond above 0 */
+    /** @param bytesPerSecond greater than 0 */
     public FullUpdatePacer(long bytesPerSecond) {
         if (bytesPerSecond <= 0) {
-            throw new IllegalArgumentException("a rate of " + bytesPerSecond + " bytes/s");
+            throw new IllegalArgumentException("invalid rate: " + bytesPerSecond + " bytes/s");
         }
         this.bytesPerSecond = bytesPerSecond;
     }
 
     /**
-     * Whether a whole answer may go.
+     * Decides whether a full update may be sent.
      *
-     * @param caller who asks: has one turn at a time
-     * @param now in nanoseconds, of a clock that does not go back
+     * @param caller who requests it; has at most one reservation at a time
+     * @param now nanoseconds of a monotonic clock
      */
     public Decision request(String caller, long bytes, long now) {
-        forgetMissed(now);
-        if (!begun) {
-            begun = true;
+        expireMissed(now);
+        if (!started) {
+            started = true;
             busyUntil = now;
         }
-        Turn turn = turns.get(caller);
-        if (turn != null) {
-            if (turn.at() > now) {
-                return new Deferred(turn.at() - now);
+        Reservation reservation = reservations.get(caller);
+        if (reservation != null) {
+            if (reservation.at() > now) {
+                return new Deferred(reservation.at() - now);
             }
-            remove(turn);
+            remove(reservation);
             return new Admitted();
         }
         long from = Math.max(busyUntil, now);
@@ -78,28 +81,27 @@
             busyUntil = until;
             return new Admitted();
         }
-        if (turns.size() < MOST_RESERVED) {
+        if (reservations.size() < MAX_RESERVATIONS) {
             busyUntil = until;
-            Turn reserved = new Turn(caller, from - BURST_NANOS);
-            turns.put(caller, reserved);
+            Reservation reserved = new Reservation(caller, from - BURST_NANOS);
+            reservations.put(caller, reserved);
             byTime.add(reserved);
         }
         return new Deferred(from - BURST_NANOS - now);
     }
 
-    /** How many turns are reserved. */
-    public int reserved() {
-        return turns.size();
+    public int reservationCount() {
+        return reservations.size();
     }
 
-    private void forgetMissed(long now) {
-        for (Turn next = byTime.peek(); next != null && next.at() + GRACE_NANOS < now; next = byTime.peek()) {
+    private void expireMissed(long now) {
+        for (Reservation next = byTime.peek(); next != null && next.at() + GRACE_NANOS < now; next = byTime.peek()) {
             remove(next);
         }
     }
 
-    private void remove(Turn turn) {
-        turns.remove(turn.caller());
-        byTime.remove(turn);
+    private void remove(Reservation reservation) {
+        reservations.remove(reservation.caller());
+        byTime.remove(reservation);
     }
 }
--- a/src/main/java/onyxpaddle/distribution/History.java
+++ b/src/main/java/onyxpaddle/distribution/History.java
@@ -3,22 +3,22 @@
 import java.util.List;
 
 /**
- * What a replica has to know of the past, so that it can tell differences itself.
+ * What a replica needs to know about earlier versions to compute deltas itself.
  *
- * @param floor no difference can be told after a version below this one, as tombstones up to it have been dropped
- * @param ends the last version of each earlier epoch that the state goes back to, oldest first
+ * @param floor no delta can be computed from a version before this one, as tombstones up to it have been dropped
+ * @param epochEnds the last version of each earlier epoch that the state descends from, oldest first
  */
-public record History(ConfigurationVersion floor, List<ConfigurationVersion> ends) {
-    /** Of a state that goes back to nothing. */
+public record History(ConfigurationVersion floor, List<ConfigurationVersion> epochEnds) {
+    /** The history of a state without predecessors. */
     public static final History EMPTY = new History(ConfigurationVersion.NONE, List.of());
 
     public History {
-        ends = List.copyOf(ends);
+        epochEnds = List.copyOf(epochEnds);
     }
 
-    /** Whether a state at {@code version} with this history goes back to {@code earlier}. */
-    public boolean reaches(ConfigurationVersion version, ConfigurationVersion earlier) {
+    /** Whether a state at {@code version} with this history descends from {@code earlier}. */
+    public boolean contains(ConfigurationVersion version, ConfigurationVersion earlier) {
         return earlier.epoch() == version.epoch() ? !earlier.isAfter(version)
-            : ends.stream().anyMatch(end -> end.epoch() == earlier.epoch() && !earlier.isAfter(end));
+            : epochEnds.stream().anyMatch(end -> end.epoch() == earlier.epoch() && !earlier.isAfter(end));
     }
 }
--- a/src/main/java/onyxpaddle/distribution/JsonFields.java
+++ b/src/main/java/onyxpaddle/distribution/JsonFields.java
@@ -6,14 +6,14 @@
 import java.io.IOException;
 
 /**
- * Reads the values that updates and changes are made of from a JSON parser; what is none of them is an error that says its place:
- * {@code document:line:column: path: what is wrong}. For one document and one thread.
+ * Reads the values of updates and changes from a JSON parser. An invalid value raises an error with its location:
+ * {@code document:line:column: path: message}. For one document and one thread.
  */
 public final class JsonFields {
     private final JsonParser parser;
     private final String document;
 
-    /** {@code document}: what errors call the document. */
+    /** {@code document}: the name of the document in error messages. */
     public JsonFields(JsonParser parser, String document) {
         this.parser = parser;
         this.document = document;
@@ -36,28 +36,28 @@
     }
 
     public String text() throws IOException {
-        expect(JsonToken.VALUE_STRING, "a text");
+        expect(JsonToken.VALUE_STRING, "a string");
         return parser.getText();
     }
 
-    /** A text, or null where the document says null. */
+    /** Returns a string, or {@code null} for a JSON null. */
     public String textOrNull() throws IOException {
         return parser.currentToken() == JsonToken.VALUE_NULL ? null : text();
     }
 
-    /** Fails unless the parser stands on this token; {@code told}: what a person would call it. */
-    public void expect(JsonToken token, String told) throws MalformedUpdateException {
+    /** Throws unless the current token is {@code token}; {@code description}: its name in the error message. */
+    public void expect(JsonToken token, String description) throws MalformedUpdateException {
         if (parser.currentToken() != token) {
-            throw malformed("expected " + told);
+            throw malformed("expected " + description);
         }
     }
 
-    /** An error where the parser stands. */
-    public MalformedUpdateException malformed(String wrong) {
-        return new MalformedUpdateException(place(parser.currentLocation()) + wrong);
+    /** Creates an error at the parser's current location. */
+    public MalformedUpdateException malformed(String message) {
+        return new MalformedUpdateException(place(parser.currentLocation()) + message);
     }
 
-    /** The start of an error at this location. */
+    /** The prefix of an error message for this location. */
     String place(JsonLocation at) {
         String path = parser.getParsingContext().pathAsPointer().toString();
         return document + ":" + at.getLineNr() + ":" + at.getColumnNr() + ": " + (path.isEmpty() ? "" : path + ": ");
--- a/src/main/java/onyxpaddle/distribution/MalformedUpdateException.java
+++ b/src/main/java/onyxpaddle/distribution/MalformedUpdateException.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** Bytes that are no update; the message says where and why: {@code update:line:column: path: what is wrong}. */
+/** Raised for bytes that are not a valid update; the message has the location: {@code update:line:column: path: message}. */
 public final class MalformedUpdateException extends IOException {
     private static final long serialVersionUID = 1;
 
--- a/src/main/java/onyxpaddle/distribution/PublisherFence.java
+++ b/src/main/java/onyxpaddle/distribution/PublisherFence.java
@@ -1,8 +1,8 @@
 package onyxpaddle.distribution;
 
 /**
- * Keeps the highestEpoch epoch that a control process has seen, its own among them. A publisher is fenced for good once it has seen
- * a higher one than its own. Not for several threads.
+ * Tracks the highest epoch that a control process has seen, including its own. A publisher that has seen a higher epoch than
+ * its own is fenced permanently. Not thread-safe.
  */
 public final class PublisherFence {
     private final long ownEpoch;
@@ -10,7 +10,7 @@
 
     /**
      * @param ownEpoch a publisher's epoch; 0 for a replica, which has none and is never fenced
-     * @param highestSeen what was kept on disk; 0 for nothing
+     * @param highestSeen the highest epoch stored on disk; 0 for none
      */
     public PublisherFence(long ownEpoch, long highestSeen) {
         this.ownEpoch = ownEpoch;
@@ -18,9 +18,9 @@
     }
 
     /**
-     * Hears of an epoch.
+     * Records an epoch.
      *
-     * @return whether it is a higher one than all before, and so has to be kept on disk
+     * @return whether it is higher than all seen before and so must be stored on disk
      */
     public boolean observe(long epoch) {
         if (epoch <= highestEpoch) {
@@ -30,7 +30,7 @@
         return true;
     }
 
-    /** Whether a publisher must take no more changes and tell nothing new. */
+    /** Whether this publisher must accept no further changes and must not distribute new versions. */
     public boolean fenced() {
         return ownEpoch > 0 && highestEpoch > ownEpoch;
     }
--- a/src/main/java/onyxpaddle/distribution/Scope.java
+++ b/src/main/java/onyxpaddle/distribution/Scope.java
@@ -1,10 +1,10 @@
 package onyxpaddle.distribution;
 
-/** Which nodes an entry concerns. Where several hold for one path, the later of these goes before the earlier. */
+/** The nodes that an entry applies to. If entries of several scopes have the same path, the later constant takes precedence. */
 public enum Scope {
     /** All nodes. */
     FLEET("fleet"),
-    /** The nodes beside one service. */
+    /** The nodes that run beside one service. */
     SERVICE("service"),
     /** One node. */
     NODE("node");
@@ -15,7 +15,7 @@
         this.text = text;
     }
 
-    /** The word at the start of a key. */
+    /** The first part of a key. */
     public String text() {
         return text;
     }
--- a/src/main/java/onyxpaddle/distribution/SnapshotFile.java
+++ b/src/main/java/onyxpaddle/distribution/SnapshotFile.java
@@ -12,44 +12,44 @@
 import java.util.zip.CRC32C;
 
 /**
- * A state on disk in two files, of which the older is replaced at each write: by a temporary file that is written and synced
- * first, then renamed over it, then the folder is synced. A crash at any moment leaves the newest state that a write has
- * returned for. Each file has a checksum; what is damaged later is found at the next read, which says so.
+ * Stores a state durably in two files. Each write replaces the older one: it writes and syncs a temporary file, renames it over
+ * the older file, then syncs the folder. A crash at any time leaves the newest state whose write has returned. Each file has a
+ * checksum, so later damage is detected and reported by the next read.
  *
- * <p>File: magic (8 bytes), generation (8), length (4), CRC-32C of generation, length and content (4), content; big-endian.
- * One thread at a time, not an event loop: it waits for the disk.
+ * <p>File format, big-endian: magic (8 bytes), generation (8), length (4), CRC-32C of generation, length and content (4),
+ * content. For one thread at a time, not an event loop, as it blocks on disk I/O.
  */
 public final class SnapshotFile {
-    /** The most bytes of a state: four of the largest updates. */
+    /** Maximum size of a state: four updates of the maximum size. */
     public static final int MAX_BYTES = 4 * UpdateJson.MAX_BYTES;
 
     private static final byte[] MAGIC = "lupsnap1".getBytes(StandardCharsets.US_ASCII);
-    private static final int CHECKED = Long.BYTES + Integer.BYTES;
-    private static final int HEADER = MAGIC.length + CHECKED + Integer.BYTES;
+    private static final int CHECKSUMMED_HEADER = Long.BYTES + Integer.BYTES;
+    private static final int HEADER_BYTES = MAGIC.length + CHECKSUMMED_HEADER + Integer.BYTES;
 
-    /** What a read found. */
+    /** The result of a read. */
     public sealed interface ReadResult permits Intact, Fallback, Corrupt, Missing {
     }
 
-    /** The newest state that was written. */
+    /** The newest state written. */
     public record Intact(byte[] bytes) implements ReadResult {
     }
 
-    /** A sound state, beside a damaged file that may have held a newer one. */
+    /** An intact state, found beside a damaged or missing file that may have held a newer one. */
     public record Fallback(byte[] bytes, String damage) implements ReadResult {
     }
 
-    /** There was a state; none can be read. */
+    /** A state was written, but none can be read. */
     public record Corrupt(String damage) implements ReadResult {
     }
 
-    /** No state was ever written here. */
+    /** No state was ever written. */
     public record Missing() implements ReadResult {
     }
 
-    /** One of the two files as read: sound with its generation, or not with the reason; absent: neither. */
+    /** One of the two files as read: intact with its generation, damaged with a reason, or absent with neither. */
     private record Slot(long generation, byte[] bytes, String damage) {
-        boolean sound() {
+        boolean intact() {
             return bytes != null;
         }
 
@@ -63,27 +63,27 @@
     private long generation;
 
     /**
-     * @param folder created at the first write, with those above it
-     * @param name of the files: {@code NAME.0}, {@code NAME.1} and {@code NAME.tmp}
+     * @param folder created with its parents at the first write
+     * @param name prefix of the files {@code NAME.0}, {@code NAME.1} and {@code NAME.tmp}
      */
     public SnapshotFile(Path folder, String name) {
         this.folder = folder;
         this.name = name;
     }
 
-    /** The newest sound state. Reads both files. */
+    /** Reads both files and returns the newest intact state. */
     public ReadResult read() {
         Slot first = slot(0);
         Slot second = slot(1);
         Slot newer = first.generation() >= second.generation() ? first : second;
         Slot older = newer == first ? second : first;
-        if (!newer.sound()) {
+        if (!newer.intact()) {
             return first.absent() && second.absent() ? new Missing()
                 : new Corrupt(String.join("; ", damage(first, 0), damage(second, 1)));
         }
         generation = newer.generation();
-        // A first write that a crash broke off leaves one file; else there are two, and only damage takes one away.
-        if (older.sound() || generation == 1 && older.absent()) {
+        // A crash during the first write can leave a single file; after that both exist, so a missing one means damage.
+        if (older.intact() || generation == 1 && older.absent()) {
             return new Intact(newer.bytes());
         }
         // The next write replaces the damaged file, which may have been the newer one.
@@ -91,7 +91,7 @@
     }
 
     private String damage(Slot slot, int index) {
-        return slot.damage() != null ? slot.damage() : file(index) + ": is missing";
+        return slot.damage() != null ? slot.damage() : file(index) + ": file missing";
     }
 
     private Slot slot(int index) {
@@ -101,52 +101,52 @@
                 return new Slot(-1, null, null);
             }
             long size = Files.size(file);
-            if (!Files.isRegularFile(file) || size < HEADER || size > HEADER + MAX_BYTES) {
-                return new Slot(-1, null, file + ": of " + size + " bytes is no snapshot");
+            if (!Files.isRegularFile(file) || size < HEADER_BYTES || size > HEADER_BYTES + MAX_BYTES) {
+                return new Slot(-1, null, file + ": not a snapshot (" + size + " bytes)");
             }
-            return decoded(file, ByteBuffer.wrap(Files.readAllBytes(file)));
+            return decode(file, ByteBuffer.wrap(Files.readAllBytes(file)));
         } catch (IOException e) {
             return new Slot(-1, null, file + ": cannot be read: " + e.getMessage());
         }
     }
 
-    private static Slot decoded(Path file, ByteBuffer bytes) {
+    private static Slot decode(Path file, ByteBuffer bytes) {
         byte[] magic = new byte[MAGIC.length];
         bytes.get(magic);
         if (!Arrays.equals(magic, MAGIC)) {
-            return new Slot(-1, null, file + ": does not begin as a snapshot does");
+            return new Slot(-1, null, file + ": not a snapshot (wrong magic number)");
         }
-        ByteBuffer checked = bytes.slice(bytes.position(), CHECKED);
+        ByteBuffer checksummedHeader = bytes.slice(bytes.position(), CHECKSUMMED_HEADER);
         long generation = bytes.getLong();
         int length = bytes.getInt();
-        int told = bytes.getInt();
+        int storedChecksum = bytes.getInt();
         if (length != bytes.remaining()) {
-            return new Slot(-1, null, file + ": holds " + bytes.remaining() + " bytes of " + length);
+            return new Slot(-1, null, file + ": truncated or extended: " + bytes.remaining() + " bytes of content instead of " + length);
         }
         byte[] content = new byte[length];
         bytes.get(content);
-        if (checksum(checked, content) != told || generation < 1) {
-            return new Slot(-1, null, file + ": its checksum is wrong");
+        if (checksum(checksummedHeader, content) != storedChecksum || generation < 1) {
+            return new Slot(-1, null, file + ": checksum mismatch");
         }
         return new Slot(generation, content, null);
     }
 
     /**
-     * Writes a state. Once it returns the state is durable; when it throws, the state before is.
+     * Writes a state. It is durable once this returns; if this throws, the previous state remains.
      *
-     * @throws IOException such as for a full disk
+     * @throws IOException for example if the disk is full
      */
     public void write(byte[] content) throws IOException {
         if (generation == 0) {
-            // Both files from the first state on: so one that is missing later is found out.
-            writeNext(content);
+            // The first state goes to both files, so that a file that is missing later is detected.
+            writeGeneration(content);
         }
-        writeNext(content);
+        writeGeneration(content);
     }
 
-    private void writeNext(byte[] content) throws IOException {
+    private void writeGeneration(byte[] content) throws IOException {
         if (content.length > MAX_BYTES) {
-            throw new IOException("a state of " + content.length + " bytes; at most " + MAX_BYTES + " are kept");
+            throw new IOException("state too large: " + content.length + " bytes, maximum " + MAX_BYTES);
         }
         Files.createDirectories(folder);
         Path temporary = folder.resolve(name + ".tmp");
@@ -158,7 +158,7 @@
             Files.deleteIfExists(temporary);
             throw e;
         }
-        // From here on the file stands under its name: a later write goes to the other one, also if the folder's sync fails.
+        // The file is in place now, so a later write must go to the other one even if syncing the folder fails.
         generation = next;
         try (FileChannel directory = FileChannel.open(folder, StandardOpenOption.READ)) {
             directory.force(true);
@@ -166,9 +166,9 @@
     }
 
     private static void writeSynced(Path file, long generation, byte[] content) throws IOException {
-        ByteBuffer checked = ByteBuffer.allocate(CHECKED).putLong(generation).putInt(content.length).flip();
-        ByteBuffer header = ByteBuffer.allocate(HEADER).put(MAGIC).put(checked.duplicate())
-            .putInt(checksum(checked.duplicate(), content)).flip();
+        ByteBuffer checksummedHeader = ByteBuffer.allocate(CHECKSUMMED_HEADER).putLong(generation).putInt(content.length).flip();
+        ByteBuffer header = ByteBuffer.allocate(HEADER_BYTES).put(MAGIC).put(checksummedHeader.duplicate())
+            .putInt(checksum(checksummedHeader.duplicate(), content)).flip();
         try (FileChannel channel = FileChannel.open(file, StandardOpenOption.CREATE, StandardOpenOption.WRITE,
                 StandardOpenOption.TRUNCATE_EXISTING)) {
             writeAll(channel, header);
@@ -183,9 +183,9 @@
         }
     }
 
-    private static int checksum(ByteBuffer checked, byte[] content) {
+    private static int checksum(ByteBuffer checksummedHeader, byte[] content) {
         CRC32C crc = new CRC32C();
-        crc.update(checked);
+        crc.update(checksummedHeader);
         crc.update(content);
         return (int) crc.getValue();
     }
--- a/src/main/java/onyxpaddle/distribution/Subscription.java
+++ b/src/main/java/onyxpaddle/distribution/Subscription.java
@@ -1,22 +1,22 @@
 package onyxpaddle.distribution;
 
 /**
- * Which entries somebody is told of: a node those of the fleet, of its service and its own; a replica all.
+ * The entries that a client gets: a node those of the fleet, of its service and its own; a replica all.
  *
- * @param node null for all
- * @param service empty where the node stands beside none
+ * @param node {@code null} for all entries
+ * @param service the service beside which the node runs; empty if there is none
  */
 public record Subscription(String node, String service) {
-    /** Everything, as replicas ask for it. */
+    /** All entries, as requested by replicas. */
     public static final Subscription ALL = new Subscription(null, "");
 
-    /** @throws IllegalArgumentException where a name does not have its form */
+    /** @throws IllegalArgumentException if a name has invalid syntax */
     public Subscription {
         if (node != null && !EntryKey.isName(node)) {
-            throw new IllegalArgumentException("`" + Shortened.of(node) + "` is no name of a node");
+            throw new IllegalArgumentException("`" + Excerpt.of(node) + "` is not a valid node name");
         }
         if (!service.isEmpty() && !EntryKey.isName(service)) {
-            throw new IllegalArgumentException("`" + Shortened.of(service) + "` is no name of a service");
+            throw new IllegalArgumentException("`" + Excerpt.of(service) + "` is not a valid service name");
         }
     }
 
@@ -24,7 +24,7 @@
         return node == null;
     }
 
-    /** Whether an entry of this key is told. */
+    /** Whether the entry of this key belongs to the subscription. */
     public boolean matches(EntryKey key) {
         return all() || switch (key.scope()) {
             case FLEET -> true;
--- a/src/main/java/onyxpaddle/distribution/UpdateAssembler.java
+++ b/src/main/java/onyxpaddle/distribution/UpdateAssembler.java
@@ -4,22 +4,22 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** Puts the pages of one update together. Holds at most {@link UpdateJson#MAX_ENTRIES} entries. */
+/** Joins the pages of one update. Holds at most {@link UpdateJson#MAX_ENTRIES} entries. */
 public final class UpdateAssembler {
     private final Map<EntryKey, Entry> entries = new LinkedHashMap<>();
-    private boolean whole;
+    private boolean full;
     private ConfigurationVersion firstPageVersion = ConfigurationVersion.NONE;
 
     /**
-     * Takes the next page.
+     * Adds the next page.
      *
-     * @return the whole update, without {@code more}, once the page was the last; null where more have to come
-     * @throws IllegalStateException for more entries than are held; the assembly is empty then
+     * @return the complete update, without {@code more}, after the last page; {@code null} if more pages follow
+     * @throws IllegalStateException if there are too many entries; the assembler is empty afterwards
      */
     public Update add(Update page) {
         if (page.full()) {
             clear();
-            whole = true;
+            full = true;
             firstPageVersion = page.version();
         }
         for (Entry entry : page.entries()) {
@@ -32,25 +32,25 @@
         if (page.more()) {
             return null;
         }
-        Update update = new Update(page.version(), whole, false, new ArrayList<>(entries.values()), page.staleMs(), page.history());
+        Update update = new Update(page.version(), full, false, new ArrayList<>(entries.values()), page.staleMs(), page.history());
         clear();
         return update;
     }
 
-    /** Whether pages are held that await more. */
+    /** Whether pages have been added and more are expected. */
     public boolean inProgress() {
-        return whole || !entries.isEmpty();
+        return full || !entries.isEmpty();
     }
 
-    /** Of a whole in pages: the version of its first page, to be named as {@code page_of}; {@code NONE} for a difference. */
+    /** The version of the first page of a full update, to be sent as {@code page_of}; {@code NONE} for a delta. */
     public ConfigurationVersion firstPageVersion() {
         return firstPageVersion;
     }
 
-    /** Forgets the pages so far. */
+    /** Discards the pages added so far. */
     public void clear() {
         entries.clear();
-        whole = false;
+        full = false;
         firstPageVersion = ConfigurationVersion.NONE;
     }
 }
--- a/src/main/java/onyxpaddle/distribution/UpdateJson.java
+++ b/src/main/java/onyxpaddle/distribution/UpdateJson.java
@@ -17,33 +17,33 @@
 import java.util.Set;
 
 /**
- * Updates as JSON. Keys that are not known are passed over, so that a later process may say more. Numbers of bytes and of
- * entries are bounded, and each key may stand once.
+ * JSON encoding of updates. Unknown keys are ignored, so that later versions can add some. The number of bytes and entries is
+ * bounded, and duplicate keys are errors.
  *
  * <pre>{"version":"1.7","whole":false,"more":false,"stale_ms":12,
  * "entries":[{"key":"service/booking/pools.records","value":"attempts: 2\n","changed":"1.7"}]}</pre>
  */
 public final class UpdateJson {
-    /** The most bytes of an update: 10,000 sections of 1.6 KB. */
+    /** Maximum size of an update: 10,000 sections of 1.6 KB. */
     public static final int MAX_BYTES = 16 << 20;
-    /** The most entries of an update. */
+    /** Maximum number of entries in an update. */
     public static final int MAX_ENTRIES = 65_536;
 
-    /** No part of an update lies deeper; the rest is room for later ones. */
-    private static final int DEEPEST = 16;
-    private static final int LONGEST_NAME = 256;
-    /** The most epochs that a history names: one for each take-over by an operator. */
-    private static final int MOST_ENDS = 10_000;
+    /** Greater than the depth of an update, to leave room for later additions. */
+    private static final int MAX_DEPTH = 16;
+    private static final int MAX_NAME_LENGTH = 256;
+    /** Maximum number of epochs in a history: one per take-over by an operator. */
+    private static final int MAX_EPOCHS = 10_000;
     private static final JsonFactory JSON = JsonFactory.builder()
         .enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION)
-        .streamReadConstraints(StreamReadConstraints.builder().maxNestingDepth(DEEPEST).maxNameLength(LONGEST_NAME)
+        .streamReadConstraints(StreamReadConstraints.builder().maxNestingDepth(MAX_DEPTH).maxNameLength(MAX_NAME_LENGTH)
             .maxStringLength(Entry.MAX_VALUE_LENGTH).build())
         .build();
 
     private UpdateJson() {
     }
 
-    /** The bytes of an update; may be more than {@link #MAX_BYTES}: who writes bounds what it puts in. */
+    /** Encodes an update. The result may exceed {@link #MAX_BYTES}; callers bound what they put in. */
     public static byte[] write(Update update) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (JsonGenerator json = JSON.createGenerator(bytes)) {
@@ -62,7 +62,7 @@
             }
             json.writeEndObject();
         } catch (IOException e) {
-            throw new UncheckedIOException("writing to memory", e);
+            throw new UncheckedIOException("encoding to memory", e);
         }
         return bytes.toByteArray();
     }
@@ -79,17 +79,17 @@
         json.writeObjectFieldStart("history");
         json.writeStringField("floor", history.floor().toString());
         json.writeArrayFieldStart("ends");
-        for (ConfigurationVersion end : history.ends()) {
+        for (ConfigurationVersion end : history.epochEnds()) {
             json.writeString(end.toString());
         }
         json.writeEndArray();
         json.writeEndObject();
     }
 
-    /** Reads an update: all of the bytes, or an error. */
+    /** Decodes an update from all of the bytes. */
     public static Update read(byte[] bytes) throws MalformedUpdateException {
         if (bytes.length > MAX_BYTES) {
-            throw new MalformedUpdateException("update: of " + bytes.length + " bytes; at most " + MAX_BYTES + " are taken");
+            throw new MalformedUpdateException("update: " + bytes.length + " bytes, maximum " + MAX_BYTES);
         }
         try (JsonParser parser = JSON.createParser(bytes)) {
             JsonFields fields = new JsonFields(parser, "update");
@@ -102,18 +102,18 @@
                 return update;
             } catch (JsonProcessingException e) {
                 JsonLocation at = e.getLocation() == null ? parser.currentLocation() : e.getLocation();
-                throw new MalformedUpdateException(fields.place(at) + Shortened.of(e.getOriginalMessage()), e);
+                throw new MalformedUpdateException(fields.place(at) + Excerpt.of(e.getOriginalMessage()), e);
             }
         } catch (MalformedUpdateException e) {
             throw e;
         } catch (IOException e) {
-            throw new MalformedUpdateException("update: " + Shortened.of(String.valueOf(e.getMessage())), e);
+            throw new MalformedUpdateException("update: " + Excerpt.of(String.valueOf(e.getMessage())), e);
         }
     }
 
     private static Update update(JsonParser parser, JsonFields fields) throws IOException {
         ConfigurationVersion version = null;
-        boolean whole = false;
+        boolean full = false;
         boolean more = false;
         long staleMs = Update.NO_PUBLISHER_CONTACT;
         List<Entry> entries = null;
@@ -124,7 +124,7 @@
             parser.nextToken();
             switch (name) {
                 case "version" -> version = fields.version();
-                case "whole" -> whole = parser.getBooleanValue();
+                case "whole" -> full = parser.getBooleanValue();
                 case "more" -> more = parser.getBooleanValue();
                 case "stale_ms" -> staleMs = staleMs(parser, fields);
                 case "entries" -> entries = entries(parser, fields);
@@ -140,7 +140,7 @@
                 throw fields.malformed(entry.key() + " changed at " + entry.changedAt() + ", after version " + version);
             }
         }
-        return new Update(version, whole, more, entries, staleMs, history);
+        return new Update(version, full, more, entries, staleMs, history);
     }
 
     private static List<Entry> entries(JsonParser parser, JsonFields fields) throws IOException {
@@ -150,7 +150,7 @@
         while (parser.nextToken() != JsonToken.END_ARRAY) {
             Entry entry = entry(parser, fields);
             if (!keys.add(entry.key())) {
-                throw fields.malformed(entry.key() + " stands twice");
+                throw fields.malformed(entry.key() + " occurs twice");
             }
             if (entries.size() == MAX_ENTRIES) {
                 throw fields.malformed("more than " + MAX_ENTRIES + " entries");
@@ -162,7 +162,7 @@
 
     private static Entry entry(JsonParser parser, JsonFields fields) throws IOException {
         EntryKey key = null;
-        boolean valued = false;
+        boolean hasValue = false;
         String value = null;
         ConfigurationVersion changedAt = null;
         fields.expect(JsonToken.START_OBJECT, "an object");
@@ -172,52 +172,52 @@
             switch (name) {
                 case "key" -> key = fields.key();
                 case "value" -> {
-                    valued = true;
+                    hasValue = true;
                     value = fields.textOrNull();
                 }
                 case "changed" -> changedAt = fields.version();
                 default -> parser.skipChildren();
             }
         }
-        if (key == null || !valued || changedAt == null) {
-            throw fields.malformed((key == null ? "`key`" : valued ? "`changed`" : "`value`") + " is missing");
+        if (key == null || !hasValue || changedAt == null) {
+            throw fields.malformed((key == null ? "`key`" : hasValue ? "`changed`" : "`value`") + " is missing");
         }
         return new Entry(key, value, changedAt);
     }
 
     private static History history(JsonParser parser, JsonFields fields) throws IOException {
         ConfigurationVersion floor = null;
-        List<ConfigurationVersion> ends = new ArrayList<>();
+        List<ConfigurationVersion> epochEnds = new ArrayList<>();
         fields.expect(JsonToken.START_OBJECT, "an object");
         while (parser.nextToken() != JsonToken.END_OBJECT) {
             String name = parser.currentName();
             parser.nextToken();
             switch (name) {
                 case "floor" -> floor = fields.version();
-                case "ends" -> ends(parser, fields, ends);
+                case "ends" -> epochEnds(parser, fields, epochEnds);
                 default -> parser.skipChildren();
             }
         }
         if (floor == null) {
             throw fields.malformed("`floor` is missing");
         }
-        return new History(floor, ends);
+        return new History(floor, epochEnds);
     }
 
-    private static void ends(JsonParser parser, JsonFields fields, List<ConfigurationVersion> ends) throws IOException {
+    private static void epochEnds(JsonParser parser, JsonFields fields, List<ConfigurationVersion> epochEnds) throws IOException {
         fields.expect(JsonToken.START_ARRAY, "a list");
         while (parser.nextToken() != JsonToken.END_ARRAY) {
-            if (ends.size() == MOST_ENDS) {
-                throw fields.malformed("more than " + MOST_ENDS + " epochs");
+            if (epochEnds.size() == MAX_EPOCHS) {
+                throw fields.malformed("more than " + MAX_EPOCHS + " epochs");
             }
-            ends.add(fields.version());
+            epochEnds.add(fields.version());
         }
     }
 
     private static long staleMs(JsonParser parser, JsonFields fields) throws IOException {
         long staleMs = parser.getLongValue();
         if (staleMs < Update.NO_PUBLISHER_CONTACT) {
-            throw fields.malformed(staleMs + " is no age");
+            throw fields.malformed(staleMs + " is not a valid age");
         }
         return staleMs;
     }
--- a/src/main/java/onyxpaddle/distribution/UpdatePager.java
+++ b/src/main/java/onyxpaddle/distribution/UpdatePager.java
@@ -2,20 +2,20 @@
 
 import java.util.List;
 
-/** Cuts large updates into pages, at the bounds between versions: a page has all or nothing of what one version changed. */
+/** Splits large updates into pages at version boundaries: a page has either all or none of the changes of a version. */
 public final class UpdatePager {
-    /** JSON around an entry: names, quotes, the version. */
-    private static final int AROUND = 64;
+    /** Approximate JSON overhead of an entry in bytes: field names, quotes, version. */
+    private static final int JSON_OVERHEAD = 64;
 
     private UpdatePager() {
     }
 
     /**
-     * The update itself where it is small enough, else its first page.
+     * Returns the update itself if it is small enough, otherwise its first page.
      *
-     * @param mostBytes about how many bytes of JSON a page may have, if no single version has more
+     * @param maxBytes approximate maximum size of a page in bytes of JSON; a single version's changes may exceed it
      */
-    public static Update firstPage(Update update, long mostBytes) {
+    public static Update firstPage(Update update, long maxBytes) {
         List<Entry> entries = update.entries();
         long bytes = 0;
         int cut = 0;
@@ -24,20 +24,20 @@
                 cut = i;
             }
             bytes += estimatedBytes(entries.get(i));
-            if (bytes > mostBytes && cut > 0) {
+            if (bytes > maxBytes && cut > 0) {
                 return new Update(update.version(), update.full(), true, entries.subList(0, cut), update.staleMs(), update.history());
             }
         }
         return update;
     }
 
-    /** About how many bytes of JSON an update has. */
+    /** Approximate size of an update in bytes of JSON. */
     public static long estimatedBytes(Update update) {
-        return update.entries().stream().mapToLong(UpdatePager::estimatedBytes).sum() + 2 * AROUND;
+        return update.entries().stream().mapToLong(UpdatePager::estimatedBytes).sum() + 2 * JSON_OVERHEAD;
     }
 
     private static long estimatedBytes(Entry entry) {
         int value = entry.removed() ? 0 : entry.value().length();
-        return AROUND + entry.key().path().length() + entry.key().owner().length() + value;
+        return JSON_OVERHEAD + entry.key().path().length() + entry.key().owner().length() + value;
     }
 }
--- a/src/test/java/onyxpaddle/distribution/ConfigurationTableTest.java
+++ b/src/test/java/onyxpaddle/distribution/ConfigurationTableTest.java
@@ -24,12 +24,12 @@
 class ConfigurationTableTest {
     private static final Subscription BOOKING = new Subscription("n1", "booking");
     private static final EntryKey ROUTES = EntryKey.parse("service/booking/routes");
-    private static final EntryKey OTHERS = EntryKey.parse("service/reminders/routes");
-    /** Few, so that random changes come to the same ones and tombstones are dropped. */
+    private static final EntryKey OTHER_ROUTES = EntryKey.parse("service/reminders/routes");
+    /** Small, so that the random changes cause tombstones to be dropped. */
     private static final int FEW_TOMBSTONES = 3;
 
-    /** A change, and whether the follower asks after it. */
-    record Step(List<Change> changes, boolean newEpoch, boolean ask) {
+    /** A set of changes, whether they begin a new epoch, and whether the clients synchronize after them. */
+    record Step(List<Change> changes, boolean newEpoch, boolean sync) {
     }
 
     @Provide
@@ -44,37 +44,37 @@
     }
 
     @Property(tries = 500, seed = "41")
-    void aDifferenceAppliedGivesWhatAWholeGives(@ForAll("steps") List<Step> steps) {
-        ConfigurationTable publisher = ConfigurationTable.keeping(FEW_TOMBSTONES).withChanges(1, List.of());
+    void applyingDeltasGivesTheSameEntriesAsTheSource(@ForAll("steps") List<Step> steps) {
+        ConfigurationTable publisher = ConfigurationTable.withMaxTombstones(FEW_TOMBSTONES).withChanges(1, List.of());
         ConfigurationTable node = ConfigurationTable.EMPTY;
-        ConfigurationTable replica = ConfigurationTable.keeping(FEW_TOMBSTONES);
+        ConfigurationTable replica = ConfigurationTable.withMaxTombstones(FEW_TOMBSTONES);
         ConfigurationTable nodeOfReplica = ConfigurationTable.EMPTY;
         for (Step step : steps) {
             long epoch = publisher.version().epoch() + (step.newEpoch() ? 1 : 0);
             publisher = publisher.withChanges(epoch, step.changes());
-            if (!step.ask()) {
+            if (!step.sync()) {
                 continue;
             }
-            node = told(node, publisher, BOOKING);
-            replica = told(replica, publisher, Subscription.ALL);
-            nodeOfReplica = told(nodeOfReplica, replica, BOOKING);
+            node = synced(node, publisher, BOOKING);
+            replica = synced(replica, publisher, Subscription.ALL);
+            nodeOfReplica = synced(nodeOfReplica, replica, BOOKING);
             assertEquals(publisher.entries(BOOKING), node.entries(BOOKING));
             assertEquals(publisher.entries(Subscription.ALL), replica.entries(Subscription.ALL));
             assertEquals(publisher.entries(BOOKING), nodeOfReplica.entries(BOOKING));
         }
     }
 
-    private static ConfigurationTable told(ConfigurationTable asker, ConfigurationTable teller, Subscription subscription) {
-        Update update = teller.deltaSince(asker.version(), subscription, 0);
+    private static ConfigurationTable synced(ConfigurationTable client, ConfigurationTable server, Subscription subscription) {
+        Update update = server.deltaSince(client.version(), subscription, 0);
         update.entries().forEach(entry -> assertTrue(subscription.matches(entry.key()), entry.toString()));
-        ApplyResult applied = asker.apply(update);
+        ApplyResult applied = client.apply(update);
         assertTrue(Set.of(Outcome.APPLIED, Outcome.UNCHANGED).contains(applied.outcome()), applied.outcome().toString());
-        assertEquals(teller.version(), applied.table().version());
+        assertEquals(server.version(), applied.table().version());
         return applied.table();
     }
 
     @Property(tries = 200, seed = "42")
-    void noOrderOfUpdatesTakesATableBackwards(@ForAll("steps") List<Step> steps, @ForAll List<Integer> order) {
+    void versionNeverDecreasesInAnyOrderOfUpdates(@ForAll("steps") List<Step> steps, @ForAll List<Integer> order) {
         List<Update> updates = new ArrayList<>();
         ConfigurationTable publisher = ConfigurationTable.initial(1);
         for (Step step : steps) {
@@ -97,11 +97,11 @@
     }
 
     @Test
-    void aThousandVersionsBehindGetsOneDifferenceWithTheNewestValues() {
+    void clientAThousandVersionsBehindGetsOneDeltaWithTheLatestValues() {
         ConfigurationTable table = ConfigurationTable.initial(1);
-        ConfigurationVersion before = table.withChanges(1, List.of(new Change(OTHERS, "0"))).version();
+        ConfigurationVersion before = table.withChanges(1, List.of(new Change(OTHER_ROUTES, "0"))).version();
         for (int i = 0; i <= 1_000; i++) {
-            table = table.withChanges(1, List.of(new Change(i % 2 == 0 ? ROUTES : OTHERS, "v" + i)));
+            table = table.withChanges(1, List.of(new Change(i % 2 == 0 ? ROUTES : OTHER_ROUTES, "v" + i)));
         }
         Update update = table.deltaSince(before, BOOKING, 0);
         assertFalse(update.full());
@@ -110,40 +110,40 @@
     }
 
     @Test
-    void aVersionThatTheNewEpochDoesNotGoBackToGetsAWhole() {
+    void versionThatTheNewEpochDoesNotDescendFromGetsAFullUpdate() {
         ConfigurationTable copied = ConfigurationTable.initial(1).withChanges(1, List.of(new Change(ROUTES, "a")));
-        ConfigurationTable lost = copied.withChanges(1, List.of(new Change(ROUTES, "lost"), new Change(OTHERS, "lost")));
+        ConfigurationTable diverged = copied.withChanges(1, List.of(new Change(ROUTES, "diverged"), new Change(OTHER_ROUTES, "diverged")));
         ConfigurationTable next = copied.withChanges(2, List.of());
         assertEquals(new ConfigurationVersion(2, 2), next.version());
         assertFalse(next.deltaSince(copied.version(), Subscription.ALL, 0).full());
-        Update update = next.deltaSince(lost.version(), Subscription.ALL, 0);
+        Update update = next.deltaSince(diverged.version(), Subscription.ALL, 0);
         assertTrue(update.full());
-        ApplyResult applied = lost.apply(update);
+        ApplyResult applied = diverged.apply(update);
         assertEquals(Outcome.APPLIED, applied.outcome());
         assertEquals("a", applied.table().value(ROUTES));
-        assertNull(applied.table().value(OTHERS));
+        assertNull(applied.table().value(OTHER_ROUTES));
     }
 
     @Test
-    void aDifferenceOfAnEpochThatDoesNotGoBackToTheTableIsAGap() {
+    void deltaOfAnEpochThatDoesNotDescendFromTheTableIsAGap() {
         ConfigurationTable copied = ConfigurationTable.initial(1).withChanges(1, List.of(new Change(ROUTES, "a")));
-        ConfigurationTable lost = copied.withChanges(1, List.of(new Change(ROUTES, "lost")));
+        ConfigurationTable diverged = copied.withChanges(1, List.of(new Change(ROUTES, "diverged")));
         Update update = copied.withChanges(2, List.of()).deltaSince(copied.version(), Subscription.ALL, 0);
-        assertEquals(Outcome.GAP, lost.apply(update).outcome());
+        assertEquals(Outcome.GAP, diverged.apply(update).outcome());
         assertEquals(Outcome.GAP, ConfigurationTable.EMPTY.apply(update).outcome());
         assertEquals(Outcome.APPLIED, copied.apply(update).outcome());
     }
 
     @Test
-    void aReplicaKnowsTheEndOfAnEpochThatItSawOnlyInPart() {
+    void replicaLearnsTheEndOfAnEpochThatItSawOnlyInPart() {
         ConfigurationTable early = ConfigurationTable.initial(1).withChanges(1, List.of(new Change(ROUTES, "a")));
         ConfigurationTable late = early.withChanges(1, List.of(new Change(ROUTES, "b")));
-        ConfigurationTable replica = told(early, late.withChanges(2, List.of()), Subscription.ALL);
+        ConfigurationTable replica = synced(early, late.withChanges(2, List.of()), Subscription.ALL);
         assertFalse(replica.deltaSince(late.version(), BOOKING, 0).full());
     }
 
     @Test
-    void whoIsAheadIsToldNothing() {
+    void clientThatIsAheadGetsAnEmptyUpdate() {
         ConfigurationTable old = ConfigurationTable.initial(1);
         Update update = old.deltaSince(new ConfigurationVersion(2, 5), BOOKING, 0);
         assertEquals(old.version(), update.version());
@@ -152,9 +152,9 @@
     }
 
     @Test
-    void whatConcernsOthersIsNoNewsButMovesTheVersion() {
+    void changeOutsideTheSubscriptionOnlyAdvancesTheVersion() {
         ConfigurationTable before = ConfigurationTable.initial(1);
-        ConfigurationTable table = before.withChanges(1, List.of(new Change(OTHERS, "x")));
+        ConfigurationTable table = before.withChanges(1, List.of(new Change(OTHER_ROUTES, "x")));
         assertFalse(table.hasChangesSince(before.version(), BOOKING));
         assertTrue(table.hasChangesSince(before.version(), Subscription.ALL));
         assertTrue(table.hasChangesSince(before.version(), new Subscription("n2", "reminders")));
@@ -164,37 +164,38 @@
     }
 
     @Test
-    void pagesApplyAllOrNothing() {
+    void pagesApplyAtomically() {
         ConfigurationTable table = ConfigurationTable.initial(1).withChanges(1, List.of(new Change(ROUTES, "a")))
-            .withChanges(1, List.of(new Change(OTHERS, "b")));
-        Update whole = table.fullUpdate(Subscription.ALL, 0);
-        Update first = new Update(whole.version(), true, true, whole.entries().subList(0, 1), 0, whole.history());
+            .withChanges(1, List.of(new Change(OTHER_ROUTES, "b")));
+        Update full = table.fullUpdate(Subscription.ALL, 0);
+        Update first = new Update(full.version(), true, true, full.entries().subList(0, 1), 0, full.history());
         assertEquals(Outcome.GAP, ConfigurationTable.EMPTY.apply(first).outcome());
-        UpdateAssembler assembly = new UpdateAssembler();
-        assertNull(assembly.add(first));
-        // Between the pages one of the first page goes, and another changes.
-        ConfigurationTable later = table.withChanges(1, List.of(new Change(ROUTES, null), new Change(OTHERS, "c")));
-        Update rest = later.remainingFullUpdate(first.lastChange(), assembly.firstPageVersion(), Subscription.ALL, 0);
+        UpdateAssembler assembler = new UpdateAssembler();
+        assertNull(assembler.add(first));
+        // Between the pages, an entry of the first page is removed and another one changes.
+        ConfigurationTable later = table.withChanges(1, List.of(new Change(ROUTES, null), new Change(OTHER_ROUTES, "c")));
+        Update rest = later.remainingFullUpdate(first.lastChange(), assembler.firstPageVersion(), Subscription.ALL, 0);
         assertFalse(rest.full());
-        ApplyResult applied = ConfigurationTable.EMPTY.apply(assembly.add(rest));
+        ApplyResult applied = ConfigurationTable.EMPTY.apply(assembler.add(rest));
         assertEquals(Outcome.APPLIED, applied.outcome());
         assertEquals(later.entries(Subscription.ALL), applied.table().entries(Subscription.ALL));
-        assertFalse(assembly.inProgress());
+        assertFalse(assembler.inProgress());
     }
 
     @Test
-    void aWholeBeginsAnewWhereRemovalsSinceItsFirstPageAreForgotten() {
-        ConfigurationTable table = ConfigurationTable.keeping(1).withChanges(1, List.of(new Change(ROUTES, "a"), new Change(OTHERS, "b")));
+    void pagedFullUpdateRestartsIfTombstonesSinceItsFirstPageWereDropped() {
+        ConfigurationTable table = ConfigurationTable.withMaxTombstones(1)
+            .withChanges(1, List.of(new Change(ROUTES, "a"), new Change(OTHER_ROUTES, "b")));
         ConfigurationVersion pageOf = table.version();
         ConfigurationTable later = table.withChanges(1, List.of(new Change(ROUTES, null)))
-            .withChanges(1, List.of(new Change(OTHERS, null)));
+            .withChanges(1, List.of(new Change(OTHER_ROUTES, null)));
         assertTrue(later.history().floor().isAfter(pageOf));
         assertTrue(later.remainingFullUpdate(pageOf, pageOf, Subscription.ALL, 0).full());
     }
 
     @Test
-    void behindTheDroppedTombstonesThereIsAWhole() {
-        ConfigurationTable table = ConfigurationTable.keeping(10).withChanges(1, List.of());
+    void clientBehindDroppedTombstonesGetsAFullUpdate() {
+        ConfigurationTable table = ConfigurationTable.withMaxTombstones(10).withChanges(1, List.of());
         ConfigurationVersion start = table.version();
         for (int i = 0; i < 40; i++) {
             table = table.withChanges(1, List.of(new Change(EntryKey.parse("fleet/pools.p" + i), null)));
@@ -206,7 +207,7 @@
     }
 
     @Test
-    void keysHaveTheirText() {
+    void keyTextRoundTripsAndInvalidKeysAreRejected() {
         for (String text : List.of("fleet/routes", "service/booking/pools.records", "node/n-1/listeners.in")) {
             assertEquals(text, EntryKey.parse(text).toString());
         }
--- a/src/test/java/onyxpaddle/distribution/FakeReplica.java
+++ b/src/test/java/onyxpaddle/distribution/FakeReplica.java
@@ -20,41 +20,41 @@
 import java.util.concurrent.TimeUnit;
 import onyxpaddle.distribution.ConfigurationTable.Change;
 
-/** A control process on loopback that tells a table as it should, or answers the next calls as a script says. */
+/** A control process on loopback that serves a table, or answers calls with scripted answers. */
 public final class FakeReplica implements AutoCloseable {
-    /** Closes the connection in place of an answer. */
+    /** Scripted answer that closes the connection instead. */
     public static final String RESET = "";
-    /** At the end of an answer: nothing further comes, and the connection stays open until the replica is closed. */
+    /** Suffix of an answer: nothing follows, and the connection stays open until the replica is closed. */
     public static final String STALL = "<stall>";
 
-    /** At the start of an answer: all of it comes at {@link #releaseDelayedAnswers} only. */
+    /** Prefix of an answer: it is sent after {@link #releaseDelayedAnswers} only. */
     public static final String DELAYED = "<late>";
 
-    /** The calls, as they came. */
+    /** The parameters of the calls, in order of arrival. */
     public final BlockingQueue<Map<String, String>> calls = new LinkedBlockingQueue<>();
     private final ServerSocket listener;
     private final List<Socket> sockets = new ArrayList<>();
-    private final ConcurrentLinkedQueue<String> script = new ConcurrentLinkedQueue<>();
+    private final ConcurrentLinkedQueue<String> scriptedAnswers = new ConcurrentLinkedQueue<>();
     private final CountDownLatch released = new CountDownLatch(1);
     private ConfigurationTable table = ConfigurationTable.initial(1);
     private long staleMs;
 
-    /** On a port of the system's choice. */
+    /** Listens on an ephemeral port. */
     public FakeReplica() throws IOException {
         listener = new ServerSocket(0, 100, InetAddress.getByName("127.0.0.1"));
-        daemon(this::accept);
+        startDaemon(this::accept);
     }
 
     public InetSocketAddress address() {
         return (InetSocketAddress) listener.getLocalSocketAddress();
     }
 
-    /** The next calls are answered so, one after the other, in place of what the table says. */
+    /** The next calls get these answers, in order, instead of an answer from the table. */
     public void enqueueAnswers(String... answers) {
-        script.addAll(List.of(answers));
+        scriptedAnswers.addAll(List.of(answers));
     }
 
-    /** An answer of status 200 with this body. */
+    /** An answer with status 200 and this body. */
     public static String ok(String body) {
         return "HTTP/1.1 200 OK\r\nContent-Length: " + body.getBytes(StandardCharsets.UTF_8).length + "\r\n\r\n" + body;
     }
@@ -67,14 +67,14 @@
         return "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\nRetry-After: " + retryAfter + "\r\n\r\n";
     }
 
-    /** A change of one entry; {@code value} null takes it away. */
+    /** Publishes a change of one entry; a {@code null} value removes it. */
     public synchronized ConfigurationVersion publish(String key, String value) {
         table = table.withChanges(table.version().epoch(), List.of(new Change(EntryKey.parse(key), value)));
         notifyAll();
         return table.version();
     }
 
-    /** Goes on from another table, such as that of another replica or an older one. */
+    /** Replaces the table, for example by that of another replica or an older one. */
     public synchronized void setTable(ConfigurationTable other) {
         table = other;
         notifyAll();
@@ -84,17 +84,17 @@
         return table;
     }
 
-    /** As if this long ago had been heard from the publisher; -1 for never. */
+    /** Sets the reported time since the last contact with the publisher; -1 for never. */
     public synchronized void setStaleMs(long millis) {
         staleMs = millis;
     }
 
-    /** Lets late answers go. */
+    /** Sends the delayed answers. */
     public void releaseDelayedAnswers() {
         released.countDown();
     }
 
-    /** The next call that has this parameter so, or fails after 20 s. */
+    /** Returns the next call whose parameter has this value; fails after 20 s. */
     public Map<String, String> awaitCall(String name, String value) throws InterruptedException {
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
         while (true) {
@@ -120,7 +120,7 @@
 
     // ---- connections ----
 
-    private static void daemon(Runnable task) {
+    private static void startDaemon(Runnable task) {
         Thread thread = new Thread(task, "fake-replica");
         thread.setDaemon(true);
         thread.start();
@@ -133,10 +133,10 @@
                 synchronized (sockets) {
                     sockets.add(socket);
                 }
-                daemon(() -> serve(socket));
+                startDaemon(() -> serve(socket));
             }
         } catch (IOException e) {
-            // Closed.
+            // The listener was closed.
         }
     }
 
@@ -145,8 +145,8 @@
             for (String head = head(socket.getInputStream()); head != null; head = head(socket.getInputStream())) {
                 Map<String, String> call = parameters(head.split(" ")[1]);
                 calls.add(call);
-                String scripted = script.poll();
-                String answer = scripted == null ? told(call) : scripted;
+                String scripted = scriptedAnswers.poll();
+                String answer = scripted == null ? answerFromTable(call) : scripted;
                 if (answer.startsWith(DELAYED)) {
                     released.await();
                     answer = answer.substring(DELAYED.length());
@@ -156,16 +156,16 @@
                     socket.getInputStream().read();
                     return;
                 }
-                if (!whole(answer)) {
+                if (!isComplete(answer)) {
                     return;
                 }
             }
         } catch (IOException | InterruptedException e) {
-            // The connection is over.
+            // The connection was closed.
         }
     }
 
-    private static boolean whole(String answer) {
+    private static boolean isComplete(String answer) {
         int body = answer.indexOf("\r\n\r\n") + 4;
         int length = body < 4 ? 0 : Integer.parseInt(answer.replaceAll("(?s).*Content-Length: ([0-9]+).*", "$1"));
         return body >= 4 && answer.substring(body).getBytes(StandardCharsets.UTF_8).length == length;
@@ -197,7 +197,7 @@
         return parameters;
     }
 
-    private synchronized String told(Map<String, String> call) throws InterruptedException {
+    private synchronized String answerFromTable(Map<String, String> call) throws InterruptedException {
         Subscription subscription = new Subscription(call.get("node"), call.get("service"));
         ConfigurationVersion after = new ConfigurationVersion(Long.parseLong(call.get("epoch")), Long.parseLong(call.get("after")));
         long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(Long.parseLong(call.get("wait_ms")));
--- a/src/test/java/onyxpaddle/distribution/FullUpdatePacerTest.java
+++ b/src/test/java/onyxpaddle/distribution/FullUpdatePacerTest.java
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void athousandCallersAtOnceAreSpreadWithinTheRate() {
+    void simultaneousCallersAreSpreadWithinTheRate() {
         FullUpdatePacer pacer = new FullUpdatePacer(RATE);
         Random random = new Random(7);
         PriorityQueue<Call> calls = new PriorityQueue<>((a, b) -> Long.compare(a.at(), b.at()));
@@ -33,21 +33,21 @@
             calls.add(new Call("n" + i, random.nextInt(1_000_000)));
         }
         List<Sent> sent = new ArrayList<>();
-        int asked = 0;
+        int requests = 0;
         while (!calls.isEmpty()) {
             Call call = calls.remove();
-            asked++;
-            assertTrue(asked <= 2_000, "each asks twice at most");
+            requests++;
+            assertTrue(requests <= 2_000, "each caller requests at most twice");
             Decision decision = pacer.request(call.caller(), SIZE, call.at());
-            if (decision instanceof Deferred later) {
-                // As Retry-After says it, in whole seconds.
-                calls.add(new Call(call.caller(), call.at() + (later.waitNanos() + SECOND - 1) / SECOND * SECOND));
+            if (decision instanceof Deferred deferred) {
+                // Rounded up to whole seconds, as in Retry-After.
+                calls.add(new Call(call.caller(), call.at() + (deferred.waitNanos() + SECOND - 1) / SECOND * SECOND));
             } else {
                 sent.add(new Sent(call.at(), SIZE));
             }
         }
         assertEquals(1_000, sent.size());
-        assertEquals(0, pacer.reserved());
+        assertEquals(0, pacer.reservationCount());
         for (int from = 0; from < sent.size(); from++) {
             long bytes = 0;
             for (int to = from; to < sent.size(); to++) {
@@ -62,22 +62,22 @@
     }
 
     @Test
-    void whoComesTooLateHasToAskAnewAndItsTurnIsForgotten() {
+    void missedReservationExpires() {
         FullUpdatePacer pacer = new FullUpdatePacer(RATE);
         assertInstanceOf(Admitted.class, pacer.request("a", 10 * RATE, 0));
-        Deferred later = assertInstanceOf(Deferred.class, pacer.request("b", 10 * RATE, 0));
+        Deferred deferred = assertInstanceOf(Deferred.class, pacer.request("b", 10 * RATE, 0));
         assertInstanceOf(Deferred.class, pacer.request("c", 10 * RATE, 0));
-        long missed = later.waitNanos() + FullUpdatePacer.GRACE_NANOS + 1;
+        long missed = deferred.waitNanos() + FullUpdatePacer.GRACE_NANOS + 1;
         Deferred again = assertInstanceOf(Deferred.class, pacer.request("b", 10 * RATE, missed));
-        assertTrue(again.waitNanos() > 10 * SECOND, "behind c");
+        assertTrue(again.waitNanos() > 10 * SECOND, "queued behind c");
     }
 
     @Test
-    void reservedTurnsAreBounded() {
+    void reservationsAreBounded() {
         FullUpdatePacer pacer = new FullUpdatePacer(RATE);
-        for (int i = 0; i < 3 * FullUpdatePacer.MOST_RESERVED; i++) {
+        for (int i = 0; i < 3 * FullUpdatePacer.MAX_RESERVATIONS; i++) {
             pacer.request("n" + i, SIZE, 0);
         }
-        assertEquals(FullUpdatePacer.MOST_RESERVED, pacer.reserved());
+        assertEquals(FullUpdatePacer.MAX_RESERVATIONS, pacer.reservationCount());
     }
 }
--- a/src/test/java/onyxpaddle/distribution/PublisherFenceTest.java
+++ b/src/test/java/onyxpaddle/distribution/PublisherFenceTest.java
@@ -8,7 +8,7 @@
 
 class PublisherFenceTest {
     @Test
-    void aPublisherIsFencedByAHigherEpochForGood() {
+    void publisherIsFencedPermanentlyByAHigherEpoch() {
         PublisherFence fence = new PublisherFence(2, 1);
         assertFalse(fence.observe(2));
         assertFalse(fence.fenced());
@@ -20,12 +20,12 @@
     }
 
     @Test
-    void whatWasSeenBeforeTheStartFencesToo() {
+    void epochStoredBeforeTheStartFences() {
         assertTrue(new PublisherFence(2, 3).fenced());
     }
 
     @Test
-    void aReplicaIsNeverFenced() {
+    void replicaIsNeverFenced() {
         PublisherFence fence = new PublisherFence(0, 3);
         assertTrue(fence.observe(4));
         assertFalse(fence.fenced());
--- a/src/test/java/onyxpaddle/distribution/ReplicaSelectorTest.java
+++ b/src/test/java/onyxpaddle/distribution/ReplicaSelectorTest.java
@@ -23,14 +23,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Which replica a client calls next, when, and whether it waits there. */
+/** The choice of the replica to call, the delay of the call, and whether it waits for changes. */
 class ReplicaSelectorTest {
     private static final long SECOND = TimeUnit.SECONDS.toNanos(1);
     private static final List<String> FOUR = List.of("10.0.0.1:80", "10.0.0.2:80", "10.0.0.3:80", "10.0.0.4:80");
     private static final Answered FRESH = new Answered(0, false);
     private static final Answered STALE = new Answered(60_000, false);
 
-    /** A clock that wraps around within the test. */
+    /** Starts shortly before the clock overflows, so that it wraps around within the test. */
     private long now = Long.MAX_VALUE - 5 * SECOND;
     private final ReplicaSelector selector = new ReplicaSelector("node-1", FOUR, new SplittableRandom(7));
 
@@ -40,23 +40,23 @@
     }
 
     @Test
-    void staysAndWaitsWhereItIsAnswered() {
+    void staysWithAnAnsweringReplicaAndWaitsThere() {
         Call first = selector.firstCall();
         assertEquals(0, first.waitMs());
         Call second = after(first, FRESH);
         assertEquals(new Call(first.replica(), 0, 2000, false), second);
-        assertEquals(2800, second.patienceMs());
+        assertEquals(2800, second.responseTimeoutMs());
         assertEquals(second, after(second, FRESH));
     }
 
     @Test
-    void pagesAreAskedForAtTheSameReplicaAtOnce() {
+    void requestsFurtherPagesFromTheSameReplicaImmediately() {
         Call first = selector.firstCall();
         assertEquals(new Call(first.replica(), 0, 0, false), after(first, new Answered(0, true)));
     }
 
     @Test
-    void goesToAnotherReplicaAfterAFailureAndStaysThere() {
+    void failsOverToAnotherReplicaAndStaysThere() {
         Call first = selector.firstCall();
         Call second = after(first, new Failed());
         assertNotEquals(first.replica(), second.replica());
@@ -68,7 +68,7 @@
     }
 
     @Test
-    void triesEveryReplicaBeforeOneAgain() {
+    void callsEveryReplicaBeforeCallingOneAgain() {
         Call call = selector.firstCall();
         boolean[] tried = new boolean[FOUR.size()];
         for (int i = 0; i < FOUR.size(); i++) {
@@ -79,12 +79,12 @@
     }
 
     @Test
-    void oneReplicaAloneIsCalledAgainWithDelays() {
-        ReplicaSelector alone = new ReplicaSelector("node-1", List.of("10.0.0.1:80"), new SplittableRandom(7));
-        Call call = alone.firstCall();
+    void singleReplicaIsCalledAgainWithBackoff() {
+        ReplicaSelector single = new ReplicaSelector("node-1", List.of("10.0.0.1:80"), new SplittableRandom(7));
+        Call call = single.firstCall();
         long all = 0;
         for (int i = 0; i < 40; i++) {
-            call = alone.nextCall(now, new Failed());
+            call = single.nextCall(now, new Failed());
             all += call.delay();
             now += call.delay();
         }
@@ -92,9 +92,9 @@
         assertTrue(all > 40 * SECOND, "in all " + all);
     }
 
-    /** The replica that gave a time is left alone until then, as long as there are others. */
+    /** A replica that sent a Retry-After is not called before that time while there are others. */
     @Test
-    void retryAfterIsKept() {
+    void retryAfterIsRespected() {
         ReplicaSelector two = new ReplicaSelector("node-1", FOUR.subList(0, 2), new SplittableRandom(7));
         int busy = two.firstCall().replica();
         Call call = two.nextCall(now, new Busy(8));
@@ -110,7 +110,7 @@
     }
 
     @Test
-    void whereAllAreBusyTheEarliestIsCalledInItsTime() {
+    void ifAllAreBusyTheEarliestRetryAfterIsFollowed() {
         Call call = selector.firstCall();
         long least = now;
         int earliest = -1;
@@ -128,13 +128,13 @@
 
     @ParameterizedTest
     @ValueSource(longs = {Long.MIN_VALUE, -1, 0, 31_536_000, Long.MAX_VALUE})
-    void retryAfterThatMakesNoSenseIsBounded(long seconds) {
-        ReplicaSelector alone = new ReplicaSelector("node-1", List.of("10.0.0.1:80"), new SplittableRandom(7));
-        alone.firstCall();
+    void invalidRetryAfterIsBounded(long seconds) {
+        ReplicaSelector single = new ReplicaSelector("node-1", List.of("10.0.0.1:80"), new SplittableRandom(7));
+        single.firstCall();
         long longest = 0;
         long sum = 0;
         for (int i = 0; i < 100; i++) {
-            Call call = alone.nextCall(now, new Busy(seconds));
+            Call call = single.nextCall(now, new Busy(seconds));
             now += call.delay();
             longest = Math.max(longest, call.delay());
             sum += call.delay();
@@ -144,7 +144,7 @@
     }
 
     @Test
-    void leavesAReplicaThatIsBehind() {
+    void failsOverFromAReplicaThatIsBehind() {
         Call first = after(selector.firstCall(), FRESH);
         Call second = after(first, new Behind());
         assertNotEquals(first.replica(), second.replica());
@@ -152,7 +152,7 @@
     }
 
     @Test
-    void looksForAFresherReplicaAndStaysThere() {
+    void probesForAFresherReplicaAndMovesThere() {
         Call probe = after(selector.firstCall(), STALE);
         assertTrue(probe.probe());
         assertEquals(0, probe.waitMs());
@@ -161,14 +161,14 @@
     }
 
     @Test
-    void staysWhereNoOtherIsFresher() {
+    void staysIfNoOtherReplicaIsFresher() {
         Call first = selector.firstCall();
         Call probe = after(first, STALE);
         assertEquals(new Call(first.replica(), 0, 2000, false), after(probe, new Answered(-1, false)));
     }
 
     @Test
-    void probeThatFailsCostsNothingElse() {
+    void failedProbeHasNoOtherEffect() {
         Call first = selector.firstCall();
         Call probe = after(first, STALE);
         assertEquals(new Call(first.replica(), 0, 2000, false), after(probe, new Failed()));
@@ -176,30 +176,30 @@
     }
 
     @Test
-    void neverHeardFromThePublisherIsStale() {
+    void replicaWithoutPublisherContactIsStale() {
         assertTrue(after(selector.firstCall(), new Answered(-1, false)).probe());
     }
 
     @Test
-    void allStaleAreAskedInTurnAndSeldom() {
+    void staleReplicasAreProbedInTurnAtALowRate() {
         Call call = selector.firstCall();
         long start = now;
         int probes = 0;
         boolean[] probed = new boolean[FOUR.size()];
-        int home = call.replica();
+        int current = call.replica();
         while (now - start < 100 * SECOND) {
             now += call.probe() ? 0 : 2 * SECOND;
             call = after(call, STALE);
             probes += call.probe() ? 1 : 0;
             probed[call.replica()] = true;
-            assertTrue(call.probe() || call.replica() == home);
+            assertTrue(call.probe() || call.replica() == current);
         }
         assertTrue(probes >= 10 && probes <= 16, probes + " probes in 100 s");
         assertTrue(probed[0] && probed[1] && probed[2] && probed[3]);
     }
 
     @Test
-    void comesBackToItsPreferredReplicaAfterAWhile() {
+    void returnsToItsPreferredReplicaAfterAWhile() {
         Call first = selector.firstCall();
         Call call = after(after(first, new Failed()), FRESH);
         assertNotEquals(first.replica(), call.replica());
@@ -214,7 +214,7 @@
     }
 
     @Test
-    void orderOfTheListDoesNotMatter() {
+    void preferenceDoesNotDependOnTheOrderOfTheList() {
         for (int i = 0; i < 100; i++) {
             Call one = new ReplicaSelector("node-" + i, FOUR, new SplittableRandom(1)).firstCall();
             List<String> other = List.of(FOUR.get(2), FOUR.get(0), FOUR.get(3), FOUR.get(1));
@@ -224,11 +224,11 @@
     }
 
     /**
-     * Whatever replicas do, in any order: the call is for one of them and in bounded time, at most one probe goes out in 2 s, and one in
-     * succession, and as soon as all answer fresh the client waits at one.
+     * For any sequence of outcomes: each call goes to an existing replica within a bounded time, at most one probe is made in
+     * 2 s and no two in a row, and once all replicas answer with fresh data the client settles on one and waits there.
      */
     @Property(tries = 300)
-    void anyOutcomesKeepTheBounds(@ForAll long seed, @ForAll @IntRange(min = 1, max = 9) int replicas,
+    void boundsHoldForAnySequenceOfOutcomes(@ForAll long seed, @ForAll @IntRange(min = 1, max = 9) int replicas,
             @ForAll @LongRange(min = 1, max = 3_000_000_000L) long longestCall) {
         Random outcomes = new Random(seed);
         List<String> addresses = java.util.stream.IntStream.range(0, replicas).mapToObj(i -> "10.0.0." + i + ":80").toList();
--- a/src/test/java/onyxpaddle/distribution/SnapshotFileTest.java
+++ b/src/test/java/onyxpaddle/distribution/SnapshotFileTest.java
@@ -33,7 +33,7 @@
         file = new SnapshotFile(state, "table");
     }
 
-    private ReadResult readAnew() {
+    private ReadResult readWithNewInstance() {
         return new SnapshotFile(state, "table").read();
     }
 
@@ -41,99 +41,99 @@
         return text.getBytes(StandardCharsets.UTF_8);
     }
 
-    private static void assertSound(String text, ReadResult found) {
+    private static void assertIntact(String text, ReadResult found) {
         assertArrayEquals(bytes(text), assertInstanceOf(Intact.class, found).bytes());
     }
 
     @Test
-    void theNewestStateIsRead() throws IOException {
-        assertInstanceOf(Missing.class, readAnew());
+    void newestStateIsRead() throws IOException {
+        assertInstanceOf(Missing.class, readWithNewInstance());
         for (int i = 0; i < 5; i++) {
             file.write(bytes("state " + i));
-            assertSound("state " + i, readAnew());
+            assertIntact("state " + i, readWithNewInstance());
         }
         SnapshotFile next = new SnapshotFile(state, "table");
         next.read();
         next.write(bytes("state 5"));
-        assertSound("state 5", readAnew());
+        assertIntact("state 5", readWithNewInstance());
     }
 
     @Test
-    void aTornNewestFileFallsBackToTheOtherAtEveryLengthAndByte() throws IOException {
+    void truncatedOrCorruptNewestFileFallsBackToTheOther() throws IOException {
         file.write(bytes("first"));
         file.write(bytes("second"));
         Path newest = state.resolve("table.1");
-        byte[] sound = Files.readAllBytes(newest);
-        for (int length = 0; length < sound.length; length++) {
-            Files.write(newest, Arrays.copyOf(sound, length));
-            Fallback found = assertInstanceOf(Fallback.class, readAnew(), "cut to " + length);
+        byte[] intact = Files.readAllBytes(newest);
+        for (int length = 0; length < intact.length; length++) {
+            Files.write(newest, Arrays.copyOf(intact, length));
+            Fallback found = assertInstanceOf(Fallback.class, readWithNewInstance(), "cut to " + length);
             assertArrayEquals(bytes("first"), found.bytes());
             assertTrue(found.damage().contains("table.1"), found.damage());
         }
-        for (int at = 0; at < sound.length; at++) {
-            byte[] changed = sound.clone();
+        for (int at = 0; at < intact.length; at++) {
+            byte[] changed = intact.clone();
             changed[at] ^= 0x10;
             Files.write(newest, changed);
-            assertArrayEquals(bytes("first"), assertInstanceOf(Fallback.class, readAnew(), "byte " + at).bytes());
+            assertArrayEquals(bytes("first"), assertInstanceOf(Fallback.class, readWithNewInstance(), "byte " + at).bytes());
         }
         Files.delete(newest);
-        assertInstanceOf(Fallback.class, readAnew());
+        assertInstanceOf(Fallback.class, readWithNewInstance());
     }
 
     @Test
-    void afterTheFirstWriteEitherFileAloneHasItsState() throws IOException {
+    void eitherFileAloneHoldsTheFirstState() throws IOException {
         file.write(bytes("only"));
         Files.delete(state.resolve("table.0"));
-        assertSound("only", readAnew());
+        assertIntact("only", readWithNewInstance());
     }
 
     @Test
-    void whatIsWrittenAfterAFallBackIsTheNewest() throws IOException {
+    void writeAfterAFallbackIsTheNewest() throws IOException {
         file.write(bytes("first"));
         file.write(bytes("second"));
         Files.write(state.resolve("table.1"), bytes("noise"));
         SnapshotFile next = new SnapshotFile(state, "table");
         next.read();
         next.write(bytes("third"));
-        assertSound("third", readAnew());
+        assertIntact("third", readWithNewInstance());
         next.write(bytes("fourth"));
-        assertSound("fourth", readAnew());
+        assertIntact("fourth", readWithNewInstance());
     }
 
     @Test
-    void bothTornIsSaid() throws IOException {
+    void damageOfBothFilesIsReported() throws IOException {
         file.write(bytes("first"));
         file.write(bytes("second"));
         Files.write(state.resolve("table.0"), bytes("noise"));
         Files.write(state.resolve("table.1"), bytes("noise"));
-        Corrupt torn = assertInstanceOf(Corrupt.class, readAnew());
-        assertTrue(torn.damage().contains("table.0") && torn.damage().contains("table.1"), torn.damage());
+        Corrupt corrupt = assertInstanceOf(Corrupt.class, readWithNewInstance());
+        assertTrue(corrupt.damage().contains("table.0") && corrupt.damage().contains("table.1"), corrupt.damage());
     }
 
     @Test
-    void aFullDiskLeavesTheStateBeforeAndTheNextWriteGoes() throws IOException {
+    void fullDiskKeepsThePreviousStateAndALaterWriteSucceeds() throws IOException {
         Path full = Path.of("/dev/full");
         assumeTrue(Files.exists(full), "no /dev/full on this system");
         file.write(bytes("first"));
         Files.createSymbolicLink(state.resolve("table.tmp"), full);
         assertThrows(IOException.class, () -> file.write(bytes("second")));
-        assertSound("first", readAnew());
+        assertIntact("first", readWithNewInstance());
         file.write(bytes("third"));
-        assertSound("third", readAnew());
+        assertIntact("third", readWithNewInstance());
     }
 
     @Test
-    void aTemporaryFileLeftByACrashIsNoState() throws IOException {
+    void leftoverTemporaryFileIsIgnored() throws IOException {
         file.write(bytes("first"));
         Files.write(state.resolve("table.tmp"), bytes("noise"));
-        assertSound("first", readAnew());
+        assertIntact("first", readWithNewInstance());
         file.write(bytes("second"));
-        assertSound("second", readAnew());
+        assertIntact("second", readWithNewInstance());
     }
 
     @Test
-    void aStateTooLargeIsRefused() {
+    void tooLargeStateIsRejected() {
         assertThrows(IOException.class, () -> file.write(new byte[SnapshotFile.MAX_BYTES + 1]));
-        assertEquals(new Missing(), readAnew());
+        assertEquals(new Missing(), readWithNewInstance());
     }
 }
--- a/src/test/java/onyxpaddle/distribution/UpdateJsonTest.java
+++ b/src/test/java/onyxpaddle/distribution/UpdateJsonTest.java
@@ -18,14 +18,14 @@
         new History(new ConfigurationVersion(1, 1), List.of(new ConfigurationVersion(1, 4))));
 
     @Test
-    void whatIsWrittenIsRead() throws MalformedUpdateException {
+    void updateRoundTrips() throws MalformedUpdateException {
         assertEquals(UPDATE, UpdateJson.read(UpdateJson.write(UPDATE)));
         Update forNode = new Update(AT, false, true, List.of(), Update.NO_PUBLISHER_CONTACT);
         assertEquals(forNode, UpdateJson.read(UpdateJson.write(forNode)));
     }
 
     @Test
-    void brokenOffAtAnyByteItIsNoUpdate() {
+    void truncationAtAnyByteIsMalformed() {
         byte[] bytes = UpdateJson.write(UPDATE);
         for (int length = 0; length < bytes.length; length++) {
             byte[] part = Arrays.copyOf(bytes, length);
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void anyByteChangedIsReadOrRefusedButNeverElse() {
+    void anyFlippedBitIsReadOrRejectedWithoutOtherErrors() {
         byte[] bytes = UpdateJson.write(UPDATE);
         for (int at = 0; at < bytes.length; at++) {
             for (int bit = 0; bit < 8; bit++) {
@@ -51,29 +51,30 @@
     }
 
     @Test
-    void whatIsWrongIsSaidWithItsPlace() {
+    void errorMessagesHaveTheirLocation() {
         String entry = "{\"key\":\"fleet/routes\",\"value\":\"x\",\"changed\":\"1.1\"}";
-        refused("[]", "expected an object");
-        refused("{\"entries\":[]}", "`version` is missing");
-        refused("{\"version\":\"1.1\"}", "`entries` is missing");
-        refused("{\"version\":\"1.x\",\"entries\":[]}", "/version: `1.x` is no version");
-        refused("{\"version\":\"1.1\",\"version\":\"1.2\",\"entries\":[]}", "uplicate");
-        refused("{\"version\":\"1.1\",\"entries\":[" + entry + "," + entry + "]}", "fleet/routes stands twice");
-        refused("{\"version\":\"1.0\",\"entries\":[" + entry + "]}", "after version 1.0");
-        refused("{\"version\":\"1.1\",\"entries\":[{\"key\":\"fleet/routes\",\"changed\":\"1.1\"}]}", "/entries/0: `value` is missing");
-        refused("{\"version\":\"1.1\",\"entries\":[],\"stale_ms\":-2}", "-2 is no age");
-        refused("{\"version\":\"1.1\",\"entries\":[]} {}", "more than one document");
-        refused("{\"version\":\"1.1\",\"x\":" + "[".repeat(1000), "epth");
+        assertMalformed("[]", "expected an object");
+        assertMalformed("{\"entries\":[]}", "`version` is missing");
+        assertMalformed("{\"version\":\"1.1\"}", "`entries` is missing");
+        assertMalformed("{\"version\":\"1.x\",\"entries\":[]}", "/version: `1.x` is not a version");
+        assertMalformed("{\"version\":\"1.1\",\"version\":\"1.2\",\"entries\":[]}", "uplicate");
+        assertMalformed("{\"version\":\"1.1\",\"entries\":[" + entry + "," + entry + "]}", "fleet/routes occurs twice");
+        assertMalformed("{\"version\":\"1.0\",\"entries\":[" + entry + "]}", "after version 1.0");
+        assertMalformed("{\"version\":\"1.1\",\"entries\":[{\"key\":\"fleet/routes\",\"changed\":\"1.1\"}]}",
+            "/entries/0: `value` is missing");
+        assertMalformed("{\"version\":\"1.1\",\"entries\":[],\"stale_ms\":-2}", "-2 is not a valid age");
+        assertMalformed("{\"version\":\"1.1\",\"entries\":[]} {}", "more than one document");
+        assertMalformed("{\"version\":\"1.1\",\"x\":" + "[".repeat(1000), "epth");
     }
 
-    private static void refused(String json, String why) {
+    private static void assertMalformed(String json, String message) {
         MalformedUpdateException e = assertThrows(MalformedUpdateException.class,
             () -> UpdateJson.read(json.getBytes(StandardCharsets.UTF_8)));
-        assertTrue(e.getMessage().contains(why), e.getMessage());
+        assertTrue(e.getMessage().contains(message), e.getMessage());
     }
 
     @Test
-    void bytesEntriesAndValuesAreBounded() {
+    void sizesAreBounded() {
         assertThrows(MalformedUpdateException.class, () -> UpdateJson.read(new byte[UpdateJson.MAX_BYTES + 1]));
         List<Entry> many = new ArrayList<>();
         for (int i = 0; i <= UpdateJson.MAX_ENTRIES; i++) {
@@ -83,7 +84,7 @@
         assertTrue(most.length < UpdateJson.MAX_BYTES);
         byte[] over = UpdateJson.write(new Update(AT, true, false, many, 0));
         assertThrows(MalformedUpdateException.class, () -> UpdateJson.read(over));
-        refused("{\"version\":\"1.1\",\"entries\":[{\"key\":\"fleet/routes\",\"value\":\"" + "x".repeat(Entry.MAX_VALUE_LENGTH + 1)
+        assertMalformed("{\"version\":\"1.1\",\"entries\":[{\"key\":\"fleet/routes\",\"value\":\"" + "x".repeat(Entry.MAX_VALUE_LENGTH + 1)
             + "\",\"changed\":\"1.1\"}]}", "exceeds");
     }
 }
