--- a/src/main/java/onyxpaddle/control/Answer.java
+++ b/src/main/java/onyxpaddle/control/Answer.java
@@ -9,24 +9,23 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * What a call is answered: JSON.
+ * An HTTP response with a JSON body.
  *
- * @param status of HTTP
- * @param retryAfterSeconds when to ask again; 0 for nothing to say of that
+ * @param retryAfterSeconds value of the Retry-After header; 0 for none
  */
 record Answer(int status, byte[] body, long retryAfterSeconds) {
     static final int OK = 200;
-    static final int NOT_YET_CONFIRMED = 202;
+    static final int NOT_CONFIRMED = 202;
     static final int BAD_REQUEST = 400;
     static final int NOT_FOUND = 404;
-    static final int NO_SUCH_METHOD = 405;
+    static final int METHOD_NOT_ALLOWED = 405;
     static final int CONFLICT = 409;
     static final int FENCED = 410;
     static final int TOO_LARGE = 413;
-    static final int NOT_THE_PUBLISHER = 421;
-    static final int FAULTS = 422;
+    static final int MISDIRECTED = 421;
+    static final int INVALID_CHANGES = 422;
     static final int BUSY = 503;
-    static final int DISK = 507;
+    static final int STORAGE_FAILED = 507;
 
     private static final JsonFactory JSON = new JsonFactory();
 
@@ -36,37 +35,37 @@
 
     /** {@code {"reason":"…"}}. */
     static Answer refused(int status, String reason) {
-        return new Answer(status, object("reason", List.of(reason), false), 0);
+        return new Answer(status, jsonObject("reason", List.of(reason), false), 0);
     }
 
     /** {@code {"NAME":["…",…]}}. */
     static Answer refused(int status, String name, List<String> reasons) {
-        return new Answer(status, object(name, reasons, true), 0);
+        return new Answer(status, jsonObject(name, reasons, true), 0);
     }
 
     static Answer busy(String reason, long waitNanos) {
         long seconds = Math.max(1, TimeUnit.NANOSECONDS.toSeconds(waitNanos + TimeUnit.SECONDS.toNanos(1) - 1));
-        return new Answer(BUSY, object("reason", List.of(reason), false), seconds);
+        return new Answer(BUSY, jsonObject("reason", List.of(reason), false), seconds);
     }
 
     /** {@code {"version":"E.N","replicas":K}}. */
     static Answer published(int status, String version, int replicas) {
-        String text = "{\"version\":\"" + version + "\",\"replicas\":" + replicas + "}\n";
-        return new Answer(status, text.getBytes(java.nio.charset.StandardCharsets.US_ASCII), 0);
+        String value = "{\"version\":\"" + version + "\",\"replicas\":" + replicas + "}\n";
+        return new Answer(status, value.getBytes(java.nio.charset.StandardCharsets.US_ASCII), 0);
     }
 
-    private static byte[] object(String name, List<String> texts, boolean list) {
+    private static byte[] jsonObject(String name, List<String> values, boolean asArray) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (JsonGenerator json = JSON.createGenerator(bytes)) {
             json.writeStartObject();
             json.writeFieldName(name);
-            if (list) {
+            if (asArray) {
                 json.writeStartArray();
             }
-            for (String text : texts) {
-                json.writeString(text);
+            for (String value : values) {
+                json.writeString(value);
             }
-            if (list) {
+            if (asArray) {
                 json.writeEndArray();
             }
             json.writeEndObject();
--- a/src/main/java/onyxpaddle/control/BadRequestException.java
+++ b/src/main/java/onyxpaddle/control/BadRequestException.java
@@ -1,6 +1,6 @@
 package onyxpaddle.control;
 
-/** A call that makes no sense; the message is for whoever called. */
+/** A request that is malformed or has invalid parameters; the message is returned to the caller. */
 final class BadRequestException extends Exception {
     private static final long serialVersionUID = 1;
 
--- a/src/main/java/onyxpaddle/control/ChangeJson.java
+++ b/src/main/java/onyxpaddle/control/ChangeJson.java
@@ -21,14 +21,15 @@
 import onyxpaddle.distribution.JsonFields;
 import onyxpaddle.distribution.MalformedUpdateException;
 
-/** Changes as JSON: {@code {"base":"1.7","changes":[{"key":"fleet/routes","value":"…"}]}}; a null value removes the entry. */
+/** {@code {"base":"1.7","changes":[{"key":"fleet/routes","value":"…"}]}}; a null value removes the key. */
 public final class ChangeJson {
-    /** The most bytes of the changes of one version. */
+    /** Maximum size of the changes of one version, in bytes. */
     public static final int MAX_BYTES = 2 << 20;
-    private static final int MOST_CHANGES = 10_000;
-    private static final int DEEPEST = 8;
+    private static final int MAX_CHANGES = 10_000;
+    private static final int MAX_NESTING_DEPTH = 8;
     private static final JsonFactory JSON = JsonFactory.builder().enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION)
-        .streamReadConstraints(StreamReadConstraints.builder().maxNestingDepth(DEEPEST).maxStringLength(Entry.MAX_VALUE_LENGTH).build())
+        .streamReadConstraints(StreamReadConstraints.builder().maxNestingDepth(MAX_NESTING_DEPTH)
+            .maxStringLength(Entry.MAX_VALUE_LENGTH).build())
         .build();
 
     private ChangeJson() {
@@ -84,11 +85,11 @@
             switch (name) {
                 case "base" -> base = fields.version();
                 case "changes" -> changes = changes(parser, fields);
-                default -> throw fields.malformed("a key that is not known; `base` or `changes`");
+                default -> throw fields.malformed("unknown key; expected `base` or `changes`");
             }
         }
         if (changes.isEmpty()) {
-            throw fields.malformed("no changes");
+            throw fields.malformed("`changes` is missing or empty");
         }
         return new ChangeRequest(base, changes);
     }
@@ -100,10 +101,10 @@
         while (parser.nextToken() != JsonToken.END_ARRAY) {
             Change change = change(parser, fields);
             if (!keys.add(change.key())) {
-                throw fields.malformed(change.key() + " stands twice");
+                throw fields.malformed(change.key() + " appears twice");
             }
-            if (changes.size() == MOST_CHANGES) {
-                throw fields.malformed("more than " + MOST_CHANGES + " changes");
+            if (changes.size() == MAX_CHANGES) {
+                throw fields.malformed("more than " + MAX_CHANGES + " changes");
             }
             changes.add(change);
         }
@@ -112,7 +113,7 @@
 
     private static Change change(JsonParser parser, JsonFields fields) throws IOException {
         EntryKey key = null;
-        boolean valued = false;
+        boolean hasValue = false;
         String value = null;
         fields.expect(JsonToken.START_OBJECT, "an object");
         while (parser.nextToken() != JsonToken.END_OBJECT) {
@@ -121,13 +122,13 @@
             switch (name) {
                 case "key" -> key = fields.key();
                 case "value" -> {
-                    valued = true;
+                    hasValue = true;
                     value = fields.textOrNull();
                 }
-                default -> throw fields.malformed("a key that is not known; `key` or `value`");
+                default -> throw fields.malformed("unknown key; expected `key` or `value`");
             }
         }
-        if (key == null || !valued) {
+        if (key == null || !hasValue) {
             throw fields.malformed((key == null ? "`key`" : "`value`") + " is missing");
         }
         return new Change(key, value);
--- a/src/main/java/onyxpaddle/control/ChangeRequest.java
+++ b/src/main/java/onyxpaddle/control/ChangeRequest.java
@@ -5,10 +5,10 @@
 import onyxpaddle.distribution.ConfigurationVersion;
 
 /**
- * Changes that become one version, or nothing.
+ * Changes that are published atomically as one version.
  *
- * @param base no key among the changes may have changed after this version; null for no such condition
- * @param changes each key once, at least one
+ * @param base the changes are refused if any of their keys has changed after this version; null for no such condition
+ * @param changes at least one, each with a distinct key
  */
 public record ChangeRequest(ConfigurationVersion base, List<Change> changes) {
     public ChangeRequest {
--- a/src/main/java/onyxpaddle/control/ChangeCheck.java
+++ b/src/main/java/onyxpaddle/control/ChangeValidator.java
@@ -15,26 +15,26 @@
 import onyxpaddle.distribution.ConfigurationTable.Change;
 import onyxpaddle.distribution.EntryKey;
 
-/** Holds each change against the shape of its section. Whether sections fit together is checked by each node. */
-final class ChangeCheck {
-    private ChangeCheck() {
+/** Validates each change against the schema of its section. Consistency between sections is checked by each node. */
+final class ChangeValidator {
+    private ChangeValidator() {
     }
 
-    /** What is wrong, each as {@code key:line:column: path: what is wrong; what would be right}. */
-    static Faults check(Collection<Change> changes) {
+    /** Returns the faults found, each as {@code key:line:column: path: fault; expected}. */
+    static Faults validate(Collection<Change> changes) {
         Faults faults = new Faults();
-        changes.forEach(change -> check(change, faults));
+        changes.forEach(change -> validate(change, faults));
         return faults;
     }
 
-    private static void check(Change change, Faults faults) {
+    private static void validate(Change change, Faults faults) {
         String name = change.key().toString();
         Shape shape = shape(change.key(), faults);
         if (shape == null || change.value() == null) {
             return;
         }
         Value value = SourceFile.parse(name, change.value(), faults);
-        // The text `null` takes away what the node's file or a wider scope has.
+        // A value of `null` removes the section that the node's file or a wider scope defines.
         if (value != null && !(value instanceof Scalar scalar && scalar.blank())) {
             ShapeCheck.check(value, shape, faults);
         }
@@ -44,12 +44,12 @@
         Place place = Place.of(key.toString());
         String top = key.topKey();
         if (EntryKey.NODE_LOCAL_KEYS.contains(top)) {
-            faults.add(place, top, "is each node's own and not distributed", "say it in the node's file");
+            faults.add(place, top, "is local to each node and not distributed", "set it in the node's file");
             return null;
         }
         Key found = NodeShape.NODE.keys().stream().filter(each -> each.name().equals(top)).findFirst().orElse(null);
         if (found == null) {
-            faults.add(place, top, "is no key of a node's configuration", "one of " + distributable());
+            faults.add(place, top, "is not a key of a node's configuration", "one of " + distributableKeys());
             return null;
         }
         if (key.sectionName() == null) {
@@ -62,7 +62,7 @@
         return null;
     }
 
-    private static String distributable() {
+    private static String distributableKeys() {
         return NodeShape.NODE.keys().stream().map(Key::name).filter(name -> !EntryKey.NODE_LOCAL_KEYS.contains(name))
             .collect(Collectors.joining(", "));
     }
--- a/src/main/java/onyxpaddle/control/ControlClient.java
+++ b/src/main/java/onyxpaddle/control/ControlClient.java
@@ -12,46 +12,46 @@
 import java.time.Duration;
 import onyxpaddle.config.HostPort;
 
-/** Calls a control process and waits for its answer: for commands and for a start, never on an event loop. */
+/** Blocking client of a control process, for commands and start-up. Must not be used on an event loop. */
 public final class ControlClient {
-    private static final Duration CONNECT = Duration.ofSeconds(3);
+    private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(3);
 
-    /** An answer of HTTP; {@code retryAfterSeconds}: 0 for none. */
+    /** An HTTP response; {@code retryAfterSeconds} is 0 without that header. */
     public record Response(int status, byte[] body, long retryAfterSeconds) {
         public String text() {
             return new String(body, java.nio.charset.StandardCharsets.UTF_8);
         }
     }
 
-    private final HttpClient client = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).connectTimeout(CONNECT).build();
+    private final HttpClient client = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).connectTimeout(CONNECT_TIMEOUT).build();
 
-    /** @throws IOException where no answer comes within this time, or one of more than so many bytes */
-    public Response get(HostPort at, String uri, Duration within, int mostBytes) throws IOException, InterruptedException {
-        return send(at, HttpRequest.newBuilder(URI.create("http://" + at + uri)).timeout(within).GET().build(), mostBytes);
+    /** @throws IOException if no response arrives within {@code timeout}, or its body exceeds {@code maxBytes} */
+    public Response get(HostPort at, String uri, Duration timeout, int maxBytes) throws IOException, InterruptedException {
+        return send(at, HttpRequest.newBuilder(URI.create("http://" + at + uri)).timeout(timeout).GET().build(), maxBytes);
     }
 
-    /** @throws IOException where no answer comes within this time, or one of more than so many bytes */
-    public Response post(HostPort at, String uri, byte[] body, Duration within, int mostBytes) throws IOException, InterruptedException {
-        return send(at, HttpRequest.newBuilder(URI.create("http://" + at + uri)).timeout(within)
-            .POST(BodyPublishers.ofByteArray(body)).build(), mostBytes);
+    /** @throws IOException if no response arrives within {@code timeout}, or its body exceeds {@code maxBytes} */
+    public Response post(HostPort at, String uri, byte[] body, Duration timeout, int maxBytes) throws IOException, InterruptedException {
+        return send(at, HttpRequest.newBuilder(URI.create("http://" + at + uri)).timeout(timeout)
+            .POST(BodyPublishers.ofByteArray(body)).build(), maxBytes);
     }
 
-    private Response send(HostPort at, HttpRequest request, int mostBytes) throws IOException, InterruptedException {
+    private Response send(HostPort at, HttpRequest request, int maxBytes) throws IOException, InterruptedException {
         HttpResponse<InputStream> response;
         try {
             response = client.send(request, BodyHandlers.ofInputStream());
         } catch (IOException e) {
-            throw new IOException(at + " does not answer: " + (e instanceof ConnectException ? "nothing listens there"
+            throw new IOException(at + " does not answer: " + (e instanceof ConnectException ? "connection refused"
                 : e.getMessage() == null ? e : e.getMessage()), e);
         }
         try (InputStream in = response.body()) {
-            byte[] body = in.readNBytes(mostBytes + 1);
-            if (body.length > mostBytes) {
-                throw new IOException(at + " answers more than " + mostBytes + " bytes");
+            byte[] body = in.readNBytes(maxBytes + 1);
+            if (body.length > maxBytes) {
+                throw new IOException(at + " answered with more than " + maxBytes + " bytes");
             }
             return new Response(response.statusCode(), body, response.headers().firstValueAsLong("retry-after").orElse(0));
         } catch (NumberFormatException e) {
-            throw new IOException(at + " answers a Retry-After that is no number", e);
+            throw new IOException(at + " answered with a Retry-After that is not a number", e);
         }
     }
 }
--- a/src/main/java/onyxpaddle/control/ControlConnection.java
+++ b/src/main/java/onyxpaddle/control/ControlConnection.java
@@ -23,46 +23,46 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A caller's connection: one call at a time. From its start, or from the moment an answer is written, the caller has
- * {@link #CALL_WITHIN_SECONDS} to take the answer and to send its next call whole, head and body; else the connection is closed.
+ * A caller's connection, with one request at a time. After it is opened or an answer is written, the caller has
+ * {@link #REQUEST_TIMEOUT_SECONDS} to read the answer and to send a complete next request, head and body; else it is closed.
  */
 final class ControlConnection extends ChannelInboundHandlerAdapter {
-    /** Callers call again at once; a person's curl within this time. */
-    static final int CALL_WITHIN_SECONDS = 30;
+    /** Nodes and replicas send their next request at once; this leaves time for manual requests, such as with curl. */
+    static final int REQUEST_TIMEOUT_SECONDS = 30;
 
-    /** Takes calls. All on the event loop. */
-    interface Calls {
-        /** A whole call; to be answered by {@link ControlConnection#answer} once. */
-        void call(ControlConnection connection, HttpMethod method, String uri, byte[] body);
+    /** Handles requests. Called on the event loop only. */
+    interface RequestHandler {
+        /** Handles a complete request; must be answered exactly once through {@link ControlConnection#answer}. */
+        void handle(ControlConnection connection, HttpMethod method, String uri, byte[] body);
 
-        /** Whether a body may be taken now: the most that are held at once are bounded. */
-        boolean openBody();
+        /** Returns false if the maximum number of request bodies is already buffered. */
+        boolean tryAcquireBody();
 
-        void closeBody();
+        void releaseBody();
 
-        /** The connection has ended; what it waits for is to be forgotten. */
-        void ended(ControlConnection connection);
+        /** Called when the connection has closed; its pending long poll must be removed. */
+        void onDisconnect(ControlConnection connection);
     }
 
-    private final Calls calls;
+    private final RequestHandler requestHandler;
     private ChannelHandlerContext context;
-    private Future<?> deadline;
+    private Future<?> requestTimeout;
     private HttpRequest request;
     private ByteArrayOutputStream body;
-    private boolean answering;
+    private boolean requestInProgress;
 
-    ControlConnection(Calls calls) {
-        this.calls = calls;
+    ControlConnection(RequestHandler requestHandler) {
+        this.requestHandler = requestHandler;
     }
 
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
         context = ctx;
-        awaitCall();
+        startRequestTimeout();
     }
 
-    private void awaitCall() {
-        deadline = context.executor().schedule(() -> context.close(), CALL_WITHIN_SECONDS, TimeUnit.SECONDS);
+    private void startRequestTimeout() {
+        requestTimeout = context.executor().schedule(() -> context.close(), REQUEST_TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
 
     @Override
@@ -72,36 +72,36 @@
                 return;
             }
             if (message instanceof HttpRequest head) {
-                begin(head);
+                onHead(head);
             }
             if (request != null && message instanceof HttpContent content) {
-                goOn(content);
+                onContent(content);
             }
         } finally {
             ReferenceCountUtil.release(message);
         }
     }
 
-    private void begin(HttpRequest head) {
-        if (answering) {
-            // A second call before the first one's answer: none of the callers does so.
+    private void onHead(HttpRequest head) {
+        if (requestInProgress) {
+            // Pipelining is not supported; no known client uses it.
             context.close();
             return;
         }
         request = head;
-        answering = true;
+        requestInProgress = true;
         if (head.decoderResult().isFailure()) {
-            refuse(Answer.refused(Answer.BAD_REQUEST, "no HTTP/1.1 request, or one with too long a head"));
+            rejectAndClose(Answer.refused(Answer.BAD_REQUEST, "not an HTTP/1.1 request, or its head is too long"));
         } else if (HttpUtil.isTransferEncodingChunked(head) || HttpUtil.getContentLength(head, 0L) > 0) {
-            beginBody(head);
+            startBody(head);
         }
     }
 
-    private void beginBody(HttpRequest head) {
+    private void startBody(HttpRequest head) {
         if (HttpUtil.getContentLength(head, 0L) > ChangeJson.MAX_BYTES) {
-            refuse(Answer.refused(Answer.TOO_LARGE, "a body of more than " + ChangeJson.MAX_BYTES + " bytes"));
-        } else if (!calls.openBody()) {
-            refuse(Answer.busy("other changes are being taken", 0));
+            rejectAndClose(Answer.refused(Answer.TOO_LARGE, "the body exceeds " + ChangeJson.MAX_BYTES + " bytes"));
+        } else if (!requestHandler.tryAcquireBody()) {
+            rejectAndClose(Answer.busy("too many changes are being received", 0));
         } else {
             body = new ByteArrayOutputStream();
             if (HttpUtil.is100ContinueExpected(head)) {
@@ -111,21 +111,21 @@
         }
     }
 
-    private void goOn(HttpContent content) {
+    private void onContent(HttpContent content) {
         if (content.decoderResult().isFailure()) {
-            refuse(Answer.refused(Answer.BAD_REQUEST, "the body is malformed"));
+            rejectAndClose(Answer.refused(Answer.BAD_REQUEST, "the body is malformed"));
             return;
         }
         if (body != null && !append(content.content())) {
-            refuse(Answer.refused(Answer.TOO_LARGE, "a body of more than " + ChangeJson.MAX_BYTES + " bytes"));
+            rejectAndClose(Answer.refused(Answer.TOO_LARGE, "the body exceeds " + ChangeJson.MAX_BYTES + " bytes"));
             return;
         }
         if (content instanceof LastHttpContent) {
-            deadline.cancel(false);
+            requestTimeout.cancel(false);
             byte[] bytes = body == null ? new byte[0] : body.toByteArray();
-            endBody();
-            HttpRequest whole = request;
-            calls.call(this, whole.method(), whole.uri(), bytes);
+            discardBody();
+            HttpRequest complete = request;
+            requestHandler.handle(this, complete.method(), complete.uri(), bytes);
         }
     }
 
@@ -141,22 +141,22 @@
         return true;
     }
 
-    private void endBody() {
+    private void discardBody() {
         if (body != null) {
             body = null;
-            calls.closeBody();
+            requestHandler.releaseBody();
         }
     }
 
-    /** Answers a call that has not come whole, and closes: what follows can't be read as a call. */
-    private void refuse(Answer answer) {
-        endBody();
-        deadline.cancel(false);
+    /** Answers an incomplete request and closes the connection, as the bytes that follow can't be parsed as a request. */
+    private void rejectAndClose(Answer answer) {
+        discardBody();
+        requestTimeout.cancel(false);
         write(answer, false);
         request = null;
     }
 
-    /** Answers the call at hand; without effect where the connection has ended. */
+    /** Answers the current request; does nothing if the connection has closed. */
     void answer(Answer answer) {
         if (request == null || !context.channel().isActive()) {
             return;
@@ -177,8 +177,8 @@
         if (!keepAlive) {
             response.headers().set(HttpHeaderNames.CONNECTION, "close");
         }
-        answering = !keepAlive;
-        awaitCall();
+        requestInProgress = !keepAlive;
+        startRequestTimeout();
         ChannelFuture written = context.writeAndFlush(response);
         if (!keepAlive) {
             written.addListener(ChannelFutureListener.CLOSE);
@@ -187,10 +187,10 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        deadline.cancel(false);
-        endBody();
+        requestTimeout.cancel(false);
+        discardBody();
         request = null;
-        calls.ended(this);
+        requestHandler.onDisconnect(this);
     }
 
     @Override
--- a/src/main/java/onyxpaddle/control/ControlProcess.java
+++ b/src/main/java/onyxpaddle/control/ControlProcess.java
@@ -18,19 +18,19 @@
 import onyxpaddle.node.Log;
 import onyxpaddle.node.SocketBuffers;
 
-/** A control process: keeps the configuration of a fleet, and tells it to nodes and to other control processes. */
+/** A control process: stores the configuration of a fleet and serves it to nodes and to other control processes. */
 public final class ControlProcess implements AutoCloseable {
-    private static final int END_SECONDS = 5;
+    private static final int SHUTDOWN_SECONDS = 5;
 
     private final ControlSettings settings;
     private final FileChannel lock;
     private final DiskThread disk = new DiskThread();
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final ByteBufAllocator allocator = SocketBuffers.allocator();
-    private ControlCalls calls;
+    private ControlRequestHandler requestHandler;
     private ControlServer server;
     private ConfigurationWatch watch;
-    private EpochAnnouncement announcement;
+    private EpochAnnouncer announcer;
     private boolean closed;
 
     private ControlProcess(ControlSettings settings, FileChannel lock) {
@@ -39,15 +39,15 @@
     }
 
     /**
-     * Starts a process; it listens once this returns.
+     * Starts a process, which listens when this returns.
      *
-     * @throws StartRefusedException where its state, its epoch or its folder forbids it
-     * @throws IOException where the disk or the address can't be used, or nobody answers from whom to take over
+     * @throws StartRefusedException if its state, its epoch or the lock on its folder forbids the start
+     * @throws IOException if the disk or the address can't be used, or no process to take over from answers
      */
     public static ControlProcess start(ControlSettings settings) throws IOException, StartRefusedException, InterruptedException {
-        ControlProcess process = new ControlProcess(settings, locked(settings.folder()));
+        ControlProcess process = new ControlProcess(settings, acquireLock(settings.folder()));
         try {
-            process.begin();
+            process.open();
             return process;
         } catch (IOException | StartRefusedException | InterruptedException | RuntimeException e) {
             process.close();
@@ -55,7 +55,7 @@
         }
     }
 
-    private static FileChannel locked(Path folder) throws IOException, StartRefusedException {
+    private static FileChannel acquireLock(Path folder) throws IOException, StartRefusedException {
         Files.createDirectories(folder);
         FileChannel lock = FileChannel.open(folder.resolve("lock"), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
         try {
@@ -63,46 +63,47 @@
                 return lock;
             }
         } catch (OverlappingFileLockException e) {
-            // Of this very JVM: the same as of another.
+            // The lock is held by this JVM: handled like one held by another process.
         }
         lock.close();
-        throw new StartRefusedException(folder + ": another control process keeps its state here");
+        throw new StartRefusedException(folder + ": another control process uses this folder");
     }
 
-    private void begin() throws IOException, StartRefusedException, InterruptedException {
+    private void open() throws IOException, StartRefusedException, InterruptedException {
         StateStore store = new StateStore(settings.folder());
         StateStore.Loaded loaded = store.load();
         ServedConfiguration served;
         if (settings.publisher()) {
-            ConfigurationTable table = new PublisherStart(settings, store, loaded).table();
-            served = new ServedConfiguration(settings.epoch(), settings.epoch(), table, true, settings.wholeBytesPerSecond());
+            ConfigurationTable table = new PublisherBootstrap(settings, store, loaded).initialTable();
+            served = new ServedConfiguration(settings.epoch(), settings.epoch(), table, true, settings.fullUpdateBytesPerSecond());
         } else {
             if (loaded.damage() != null) {
-                Log.line("control: tells nothing until it has followed another process: " + loaded.damage());
+                Log.line("control: serves nothing until it has synchronised with another process: " + loaded.damage());
             }
-            served = new ServedConfiguration(0, loaded.epoch(), loaded.table(), loaded.damage() == null, settings.wholeBytesPerSecond());
+            served = new ServedConfiguration(0, loaded.epoch(), loaded.table(), loaded.damage() == null,
+                settings.fullUpdateBytesPerSecond());
         }
         EventLoop loop = group.next();
-        calls = new ControlCalls(settings, loop, disk, store, served, System::nanoTime);
-        server = new ControlServer(loop, calls);
+        requestHandler = new ControlRequestHandler(settings, loop, disk, store, served, System::nanoTime);
+        server = new ControlServer(loop, requestHandler);
         server.listen(settings.listen(), allocator);
         if (!settings.follow().isEmpty()) {
-            watch = new Follower(loop, disk, store, served, System::nanoTime, calls::news).watch(settings, allocator);
+            watch = new Follower(loop, disk, store, served, System::nanoTime, requestHandler::onUpdate).watch(settings, allocator);
             watch.start();
         }
         if (!settings.takeOverFrom().isEmpty()) {
-            announcement = new EpochAnnouncement(settings, loop, served);
+            announcer = new EpochAnnouncer(settings, loop, served);
         }
-        Log.line("control: " + settings.id() + ", " + (settings.publisher() ? "the publisher of epoch " + settings.epoch() : "a replica")
-            + ", at " + address().getHostString() + ":" + address().getPort() + " with version " + served.version());
+        Log.line("control: " + settings.id() + ", " + (settings.publisher() ? "publisher of epoch " + settings.epoch() : "replica")
+            + ", listening at " + address().getHostString() + ":" + address().getPort() + " with version " + served.version());
     }
 
-    /** Where it listens. */
+    /** Returns the address that it listens at. */
     public InetSocketAddress address() {
         return server.address();
     }
 
-    /** Ends it: takes no more calls, answers those that wait, lets what is being written end. A second time does nothing. */
+    /** Stops accepting requests, lets queued writes finish and answers pending long polls. Idempotent. */
     @Override
     public synchronized void close() {
         if (closed) {
@@ -112,18 +113,18 @@
         if (watch != null) {
             watch.stop();
         }
-        if (announcement != null) {
-            announcement.close();
+        if (announcer != null) {
+            announcer.close();
         }
-        if (server != null && server.listening()) {
+        if (server != null && server.started()) {
             server.stopListening();
         }
         disk.close();
-        if (server != null && server.listening()) {
-            group.next().submit(calls::endWaiting).awaitUninterruptibly(END_SECONDS, TimeUnit.SECONDS);
+        if (server != null && server.started()) {
+            group.next().submit(requestHandler::answerAllWaiting).awaitUninterruptibly(SHUTDOWN_SECONDS, TimeUnit.SECONDS);
             server.closeConnections();
         }
-        group.shutdownGracefully(0, END_SECONDS, TimeUnit.SECONDS).awaitUninterruptibly(END_SECONDS, TimeUnit.SECONDS);
+        group.shutdownGracefully(0, SHUTDOWN_SECONDS, TimeUnit.SECONDS).awaitUninterruptibly(SHUTDOWN_SECONDS, TimeUnit.SECONDS);
         try {
             lock.close();
         } catch (IOException e) {
--- a/src/main/java/onyxpaddle/control/ControlServer.java
+++ b/src/main/java/onyxpaddle/control/ControlServer.java
@@ -15,29 +15,29 @@
 import java.net.InetSocketAddress;
 import onyxpaddle.config.HostPort;
 
-/** Listens for callers of a control process. */
+/** Listening socket of a control process. */
 final class ControlServer {
-    /** More than all nodes and replicas of a fleet of 4,096 at once, some of them twice while they change over. */
-    static final int MOST_CONNECTIONS = 8_192;
+    /** More than all nodes and replicas of a fleet of 4,096, some of which have two connections while they switch processes. */
+    static final int MAX_CONNECTIONS = 8_192;
     private static final int BACKLOG = 4_096;
-    /** A node's report with a fault of 300 characters, all of them escaped, is under 2 KB. */
-    private static final int LONGEST_LINE = 8 << 10;
-    private static final int LONGEST_HEADERS = 8 << 10;
-    private static final int LARGEST_PIECE = 16 << 10;
+    /** A node's request line is under 2 KB even if its fault of 300 characters is escaped entirely. */
+    private static final int MAX_REQUEST_LINE_BYTES = 8 << 10;
+    private static final int MAX_HEADER_BYTES = 8 << 10;
+    private static final int MAX_CHUNK_BYTES = 16 << 10;
 
     private final EventLoop loop;
-    private final ControlConnection.Calls calls;
+    private final ControlConnection.RequestHandler requestHandler;
     private final ChannelGroup connections;
     private Channel listener;
 
-    ControlServer(EventLoop loop, ControlConnection.Calls calls) {
+    ControlServer(EventLoop loop, ControlConnection.RequestHandler requestHandler) {
         this.loop = loop;
-        this.calls = calls;
+        this.requestHandler = requestHandler;
         connections = new DefaultChannelGroup(loop);
     }
 
-    /** Listens from now on. */
-    void listen(HostPort at, ByteBufAllocator allocator) throws IOException {
+    /** Binds the listening socket. */
+    void listen(HostPort bindAddress, ByteBufAllocator allocator) throws IOException {
         ServerBootstrap bootstrap = new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
             .option(ChannelOption.SO_BACKLOG, BACKLOG)
             .option(ChannelOption.SO_REUSEADDR, true)
@@ -46,46 +46,47 @@
             .childHandler(new ChannelInitializer<SocketChannel>() {
                 @Override
                 protected void initChannel(SocketChannel channel) {
-                    taken(channel);
+                    onAccept(channel);
                 }
             });
         try {
-            listener = bootstrap.bind(new InetSocketAddress(at.host(), at.port())).sync().channel();
+            listener = bootstrap.bind(new InetSocketAddress(bindAddress.host(), bindAddress.port())).sync().channel();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             throw new IOException("interrupted", e);
         } catch (RuntimeException e) {
             throw e;
         } catch (Exception e) {
-            // Netty throws what the socket did, checked or not.
-            throw new IOException("cannot listen at " + at + ": " + e.getMessage(), e);
+            // Netty rethrows the exception of the socket, which may be checked.
+            throw new IOException("cannot listen at " + bindAddress + ": " + e.getMessage(), e);
         }
     }
 
-    private void taken(SocketChannel channel) {
-        if (connections.size() >= MOST_CONNECTIONS) {
+    private void onAccept(SocketChannel channel) {
+        if (connections.size() >= MAX_CONNECTIONS) {
             channel.close();
             return;
         }
         connections.add(channel);
-        channel.pipeline().addLast(new HttpServerCodec(LONGEST_LINE, LONGEST_HEADERS, LARGEST_PIECE), new ControlConnection(calls));
+        channel.pipeline().addLast(new HttpServerCodec(MAX_REQUEST_LINE_BYTES, MAX_HEADER_BYTES, MAX_CHUNK_BYTES),
+            new ControlConnection(requestHandler));
     }
 
     InetSocketAddress address() {
         return (InetSocketAddress) listener.localAddress();
     }
 
-    /** Whether it has listened at all. */
-    boolean listening() {
+    /** Whether {@link #listen} has succeeded. */
+    boolean started() {
         return listener != null;
     }
 
-    /** Takes no more connections. */
+    /** Stops accepting connections. */
     void stopListening() {
         listener.close().syncUninterruptibly();
     }
 
-    /** Closes all connections once what was written to them has gone out. */
+    /** Closes all connections after their pending writes. */
     void closeConnections() {
         connections.close().awaitUninterruptibly();
     }
--- a/src/main/java/onyxpaddle/control/DiskThread.java
+++ b/src/main/java/onyxpaddle/control/DiskThread.java
@@ -5,21 +5,21 @@
 import java.util.concurrent.ThreadPoolExecutor;
 import java.util.concurrent.TimeUnit;
 
-/** The one thread that writes to disk, and checks what is to be written. Its queue is bounded. */
+/** Single thread, with a bounded queue, that validates and writes changes to disk. */
 final class DiskThread implements AutoCloseable {
-    /** Each holds a body of changes at most; callers beyond are told to come again. */
-    private static final int MOST_QUEUED = 64;
-    private static final int LAST_WRITE_SECONDS = 10;
+    /** A queued job holds at most one request body; callers beyond this limit are asked to retry. */
+    private static final int MAX_QUEUED = 64;
+    private static final int SHUTDOWN_SECONDS = 10;
 
-    private final ThreadPoolExecutor executor = new ThreadPoolExecutor(1, 1, 0, TimeUnit.SECONDS, new ArrayBlockingQueue<>(MOST_QUEUED),
+    private final ThreadPoolExecutor executor = new ThreadPoolExecutor(1, 1, 0, TimeUnit.SECONDS, new ArrayBlockingQueue<>(MAX_QUEUED),
         task -> {
             Thread thread = new Thread(task, "control-disk");
             thread.setDaemon(true);
             return thread;
         });
 
-    /** Whether the job was taken. */
-    boolean run(Runnable job) {
+    /** Returns false if the queue is full. */
+    boolean tryExecute(Runnable job) {
         try {
             executor.execute(job);
             return true;
@@ -28,12 +28,12 @@
         }
     }
 
-    /** Lets what is queued end. */
+    /** Waits for the queued jobs to finish. */
     @Override
     public void close() {
         executor.shutdown();
         try {
-            executor.awaitTermination(LAST_WRITE_SECONDS, TimeUnit.SECONDS);
+            executor.awaitTermination(SHUTDOWN_SECONDS, TimeUnit.SECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/src/main/java/onyxpaddle/control/FleetStatus.java
+++ b/src/main/java/onyxpaddle/control/FleetStatus.java
@@ -6,13 +6,13 @@
 import onyxpaddle.distribution.ConfigurationVersion;
 
 /**
- * What several control processes say, put together: of each node the report that was heard last.
+ * The combined status of several control processes, with the most recent report of each node.
  *
- * @param processes those that answered
- * @param failures why the others did not
+ * @param processes the processes that answered
+ * @param failures the errors of the others
  */
 public record FleetStatus(List<Status> processes, List<String> failures) {
-    /** A node calls every few seconds; one not heard of for this long is gone, or cut off. */
+    /** Nodes send a request every few seconds; one without a request for this long is down or partitioned. */
     public static final long SILENT_MS = 30_000;
 
     public FleetStatus {
@@ -20,7 +20,7 @@
         failures = List.copyOf(failures);
     }
 
-    /** The newest report of each node, by name. */
+    /** Returns the most recent report of each node, sorted by name. */
     public Collection<NodeReport> nodes() {
         TreeMap<String, NodeReport> newest = new TreeMap<>();
         for (Status process : processes) {
@@ -31,23 +31,23 @@
         return newest.values();
     }
 
-    /** Nodes that were not heard of lately. */
+    /** Returns the nodes without a request for {@link #SILENT_MS}. */
     public List<NodeReport> silent() {
         return nodes().stream().filter(node -> node.ageMs() > SILENT_MS).toList();
     }
 
-    /** Whether all nodes heard of lately, at least one, run by that version or a later one. */
+    /** Whether at least one node is not silent, and all that are not have that version or a later one in force. */
     public boolean inForce(ConfigurationVersion version) {
-        List<NodeReport> heard = nodes().stream().filter(node -> node.ageMs() <= SILENT_MS).toList();
-        return !heard.isEmpty() && heard.stream().noneMatch(node -> version.isAfter(node.inForce()));
+        List<NodeReport> recent = nodes().stream().filter(node -> node.ageMs() <= SILENT_MS).toList();
+        return !recent.isEmpty() && recent.stream().noneMatch(node -> version.isAfter(node.inForce()));
     }
 
-    /** Nodes that refused that version, or a later one, and run by an earlier one. */
+    /** Returns the nodes that refused that version or a later one, and have an earlier one in force. */
     public List<NodeReport> refused(ConfigurationVersion version) {
         return nodes().stream().filter(node -> version.isAfter(node.inForce()) && !version.isAfter(node.refused())).toList();
     }
 
-    /** Whether what the node refused last is newer than what it runs by. */
+    /** Whether the version that the node refused last is newer than the one in force. */
     public static boolean refuses(NodeReport node) {
         return node.refused().isAfter(node.inForce());
     }
--- a/src/main/java/onyxpaddle/control/Follower.java
+++ b/src/main/java/onyxpaddle/control/Follower.java
@@ -19,34 +19,34 @@
 import onyxpaddle.node.Log;
 
 /**
- * A replica's following of other control processes. What comes is held only once it is durable, so that the version asked after
- * is a confirmation; until then it is told again and passed over. On the event loop.
+ * Makes a replica follow other control processes. An update takes effect only once it is durable, so that the version in the next
+ * request confirms it; until then it is received again and ignored. Runs on the event loop.
  */
 final class Follower implements ConfigurationWatch.Receiver {
-    /** After a write that failed: a full disk is not helped by haste. */
-    private static final long WRITE_PAUSE_NANOS = TimeUnit.SECONDS.toNanos(1);
+    /** Minimum delay after a failed write, as an immediate retry on a full disk fails again. */
+    private static final long WRITE_RETRY_NANOS = TimeUnit.SECONDS.toNanos(1);
 
     private final EventLoop loop;
     private final DiskThread disk;
     private final StateStore store;
     private final ServedConfiguration served;
     private final LongSupplier clock;
-    private final Runnable onNews;
+    private final Runnable onUpdate;
     private boolean writing;
     private boolean failed;
     private long failedAt;
 
-    /** @param onNews runs after something new may be told */
-    Follower(EventLoop loop, DiskThread disk, StateStore store, ServedConfiguration served, LongSupplier clock, Runnable onNews) {
+    /** @param onUpdate runs after a new version can be served */
+    Follower(EventLoop loop, DiskThread disk, StateStore store, ServedConfiguration served, LongSupplier clock, Runnable onUpdate) {
         this.loop = loop;
         this.disk = disk;
         this.store = store;
         this.served = served;
         this.clock = clock;
-        this.onNews = onNews;
+        this.onUpdate = onUpdate;
     }
 
-    /** A watch that feeds this follower; to be started. */
+    /** Returns a watch that feeds this follower; the caller starts it. */
     ConfigurationWatch watch(ControlSettings settings, ByteBufAllocator allocator) {
         List<HostPort> others = settings.follow();
         List<InetSocketAddress> addresses = others.stream().map(at -> new InetSocketAddress(at.host(), at.port())).toList();
@@ -69,20 +69,20 @@
     public Outcome receive(Update update) {
         ApplyResult applied = served.table().apply(update);
         if (applied.outcome() == Outcome.UNCHANGED) {
-            served.heard(update.staleMs(), clock.getAsLong());
+            served.recordPublisherContact(update.staleMs(), clock.getAsLong());
         } else if (applied.outcome() == Outcome.APPLIED) {
-            keep(applied.table(), update.staleMs(), clock.getAsLong());
+            persist(applied.table(), update.staleMs(), clock.getAsLong());
         }
         return applied.outcome();
     }
 
-    private void keep(ConfigurationTable table, long staleMs, long toldAt) {
-        if (writing || failed && toldAt - failedAt < WRITE_PAUSE_NANOS) {
+    private void persist(ConfigurationTable table, long staleMs, long receivedAt) {
+        if (writing || failed && receivedAt - failedAt < WRITE_RETRY_NANOS) {
             return;
         }
-        writing = disk.run(() -> {
+        writing = disk.tryExecute(() -> {
             IOException failure = write(table);
-            loop.execute(() -> kept(table, staleMs, toldAt, failure));
+            loop.execute(() -> onPersisted(table, staleMs, receivedAt, failure));
         });
     }
 
@@ -95,22 +95,22 @@
         }
     }
 
-    private void kept(ConfigurationTable table, long staleMs, long toldAt, IOException failure) {
+    private void onPersisted(ConfigurationTable table, long staleMs, long receivedAt, IOException failure) {
         writing = false;
         if (failure != null) {
             if (!failed) {
-                Log.line("control: " + table.version() + " is not kept, and so not told: " + failure);
+                Log.line("control: cannot persist version " + table.version() + ", so it is not served: " + failure);
             }
             failed = true;
             failedAt = clock.getAsLong();
             return;
         }
         if (failed) {
-            Log.line("control: the disk takes what is told again");
+            Log.line("control: writing to disk works again");
         }
         failed = false;
-        served.durable(table);
-        served.heard(staleMs, toldAt);
-        onNews.run();
+        served.install(table);
+        served.recordPublisherContact(staleMs, receivedAt);
+        onUpdate.run();
     }
 }
--- a/src/main/java/onyxpaddle/control/NodeReport.java
+++ b/src/main/java/onyxpaddle/control/NodeReport.java
@@ -3,13 +3,13 @@
 import onyxpaddle.distribution.ConfigurationVersion;
 
 /**
- * What a node said of itself with its last call.
+ * The state that a node reported with its last request.
  *
- * @param held the version that it has been told
- * @param inForce the version that it runs by
+ * @param held the version that it has received
+ * @param inForce the version that it has in force
  * @param refused the last version that it refused, or {@code NONE}
- * @param fault the first fault of what it refused; empty for none
- * @param ageMs how long ago it said so
+ * @param fault the first fault in the refused version; empty for none
+ * @param ageMs time since that request
  */
 public record NodeReport(String node, String service, ConfigurationVersion held, ConfigurationVersion inForce,
         ConfigurationVersion refused, String fault, long ageMs) {
--- a/src/main/java/onyxpaddle/control/PublishAnswer.java
+++ b/src/main/java/onyxpaddle/control/PublishAnswer.java
@@ -8,11 +8,11 @@
 import java.util.List;
 
 /**
- * What a publisher answered to changes.
+ * A publisher's answer to changes.
  *
- * @param version empty where they were not taken
- * @param replicas how many have it
- * @param reasons why they were not taken
+ * @param version the published version; empty if the changes were refused
+ * @param replicas the number of replicas that hold it
+ * @param reasons why the changes were refused
  */
 public record PublishAnswer(String version, int replicas, List<String> reasons) {
     private static final JsonFactory JSON = new JsonFactory();
@@ -27,7 +27,7 @@
             int replicas = 0;
             List<String> reasons = new ArrayList<>();
             if (parser.nextToken() != JsonToken.START_OBJECT) {
-                throw new IOException("the answer is no JSON object");
+                throw new IOException("the answer is not a JSON object");
             }
             while (parser.nextToken() != JsonToken.END_OBJECT) {
                 String name = parser.currentName();
--- a/src/main/java/onyxpaddle/control/Publisher.java
+++ b/src/main/java/onyxpaddle/control/Publisher.java
@@ -17,16 +17,16 @@
 import onyxpaddle.node.Log;
 
 /**
- * Takes changes, one version after the other. Checked and written on the disk's thread, which alone knows the newest table there;
- * told, once durable, on the event loop.
+ * Publishes changes, one version at a time. The disk thread, the only owner of the newest table, validates and writes them; the event
+ * loop serves them once they are durable.
  */
 final class Publisher {
-    /** How many replicas are to have a change before it counts as published, and how long that may take. */
-    record Asked(int acks, int waitMs) {
-        static final int LONGEST_WAIT_MS = 30_000;
+    /** How many replicas must hold a change before it counts as published, and how long to wait for them. */
+    record AckRequirement(int acks, int waitMs) {
+        static final int MAX_WAIT_MS = 30_000;
     }
 
-    private record Unconfirmed(ConfigurationVersion version, int acks, Consumer<Answer> answer, Future<?> end) {
+    private record PendingAck(ConfigurationVersion version, int acks, Consumer<Answer> answer, Future<?> timeout) {
     }
 
     private final long epoch;
@@ -35,65 +35,66 @@
     private final StateStore store;
     private final ServedConfiguration served;
     private final Reports reports;
-    private final Runnable onNews;
-    private final List<Unconfirmed> unconfirmed = new ArrayList<>();
-    /** The newest durable table; the disk thread's. */
+    private final Runnable onUpdate;
+    private final List<PendingAck> pendingAcks = new ArrayList<>();
+    /** The newest durable table; accessed by the disk thread only. */
     private ConfigurationTable newest;
-    /** Whether {@link ServedConfiguration#stopped}, for the disk thread. */
+    /** Copy of {@link ServedConfiguration#publishingStopped} for the disk thread. */
     private volatile boolean stopped;
 
-    /** @param onNews runs on the loop after a new version may be told */
-    Publisher(long epoch, EventLoop loop, DiskThread disk, StateStore store, ServedConfiguration served, Reports reports, Runnable onNews) {
+    /** @param onUpdate runs on the loop after a new version can be served */
+    Publisher(long epoch, EventLoop loop, DiskThread disk, StateStore store, ServedConfiguration served, Reports reports,
+            Runnable onUpdate) {
         this.epoch = epoch;
         this.loop = loop;
         this.disk = disk;
         this.store = store;
         this.served = served;
         this.reports = reports;
-        this.onNews = onNews;
+        this.onUpdate = onUpdate;
         newest = served.table();
-        stopped = served.stopped();
+        stopped = served.publishingStopped();
     }
 
-    /** Takes the body of a call for changes; the answer comes on the loop. */
-    void publish(byte[] body, Asked asked, Consumer<Answer> answer) {
-        if (served.stopped()) {
-            answer.accept(Answer.refused(Answer.FENCED, served.stoppedWhy()));
-        } else if (!disk.run(() -> write(body, asked, answer))) {
-            answer.accept(Answer.busy("too many changes wait for the disk", 0));
+    /** Publishes the body of a request for changes; the answer is given on the loop. */
+    void publish(byte[] body, AckRequirement required, Consumer<Answer> answer) {
+        if (served.publishingStopped()) {
+            answer.accept(Answer.refused(Answer.FENCED, served.stopReason()));
+        } else if (!disk.tryExecute(() -> publishOnDiskThread(body, required, answer))) {
+            answer.accept(Answer.busy("too many changes are queued for the disk", 0));
         }
     }
 
-    // ---- on the disk's thread ----
+    // ---- on the disk thread ----
 
-    private void write(byte[] body, Asked asked, Consumer<Answer> answer) {
+    private void publishOnDiskThread(byte[] body, AckRequirement required, Consumer<Answer> answer) {
         try {
-            Answer refusal = written(body);
+            Answer refusal = apply(body);
             ConfigurationTable table = newest;
             loop.execute(() -> {
                 if (refusal != null) {
                     answer.accept(refusal);
                 } else {
-                    written(table, asked, answer);
+                    onPersisted(table, required, answer);
                 }
             });
         } catch (RuntimeException e) {
-            Log.failure("taking changes", e);
-            loop.execute(() -> answer.accept(Answer.refused(500, "failed: " + e)));
+            Log.failure("publishing changes", e);
+            loop.execute(() -> answer.accept(Answer.refused(500, "internal error: " + e)));
         }
     }
 
-    /** Null once the changes are durable, else why they are not. */
-    private Answer written(byte[] body) {
+    /** Makes the changes durable; returns null, or the refusal. */
+    private Answer apply(byte[] body) {
         ChangeRequest request;
         try {
             request = ChangeJson.read(body);
         } catch (BadRequestException e) {
             return Answer.refused(Answer.BAD_REQUEST, e.getMessage());
         }
-        Faults faults = ChangeCheck.check(request.changes());
+        Faults faults = ChangeValidator.validate(request.changes());
         if (faults.any()) {
-            return Answer.refused(Answer.FAULTS, "faults", faults.list().stream().map(Fault::toString).toList());
+            return Answer.refused(Answer.INVALID_CHANGES, "faults", faults.list().stream().map(Fault::toString).toList());
         }
         List<String> conflicts = conflicts(request);
         if (!conflicts.isEmpty()) {
@@ -102,7 +103,7 @@
         if (stopped) {
             return Answer.refused(Answer.FENCED, "fenced");
         }
-        return keep(newest.withChanges(epoch, request.changes()));
+        return persist(newest.withChanges(epoch, request.changes()));
     }
 
     private List<String> conflicts(ChangeRequest request) {
@@ -111,7 +112,7 @@
             return List.of();
         }
         if (base.isAfter(newest.version()) || !newest.hasHistorySince(base)) {
-            return List.of("the base " + base + " is no version that " + newest.version() + " goes back to");
+            return List.of("the base " + base + " is unknown: " + newest.version() + " does not descend from it");
         }
         List<String> conflicts = new ArrayList<>();
         for (Change change : request.changes()) {
@@ -123,61 +124,61 @@
         return conflicts;
     }
 
-    private Answer keep(ConfigurationTable next) {
-        if (StateStore.encoded(next).length > UpdateJson.MAX_BYTES) {
-            return Answer.refused(Answer.FAULTS, "faults",
-                List.of("the configuration would have more than " + UpdateJson.MAX_BYTES + " bytes; remove entries first"));
+    private Answer persist(ConfigurationTable next) {
+        if (StateStore.encode(next).length > UpdateJson.MAX_BYTES) {
+            return Answer.refused(Answer.INVALID_CHANGES, "faults",
+                List.of("the configuration would exceed " + UpdateJson.MAX_BYTES + " bytes; remove entries first"));
         }
         try {
             store.write(next);
         } catch (IOException e) {
-            Log.line("control: changes are not kept: " + e);
-            return Answer.refused(Answer.DISK, "not kept, nothing has changed: " + e.getMessage());
+            Log.line("control: cannot persist changes: " + e);
+            return Answer.refused(Answer.STORAGE_FAILED, "cannot write to disk, nothing has changed: " + e.getMessage());
         }
         newest = next;
         return null;
     }
 
-    // ---- on the loop ----
+    // ---- on the event loop ----
 
-    private void written(ConfigurationTable table, Asked asked, Consumer<Answer> answer) {
-        if (served.stopped()) {
-            answer.accept(Answer.refused(Answer.FENCED, served.stoppedWhy()));
+    private void onPersisted(ConfigurationTable table, AckRequirement required, Consumer<Answer> answer) {
+        if (served.publishingStopped()) {
+            answer.accept(Answer.refused(Answer.FENCED, served.stopReason()));
             return;
         }
-        served.durable(table);
-        onNews.run();
+        served.install(table);
+        onUpdate.run();
         ConfigurationVersion version = table.version();
-        int holding = reports.holding(version);
-        if (holding >= asked.acks()) {
-            answer.accept(Answer.published(Answer.OK, version.toString(), holding));
+        int replicasHolding = reports.replicasHolding(version);
+        if (replicasHolding >= required.acks()) {
+            answer.accept(Answer.published(Answer.OK, version.toString(), replicasHolding));
             return;
         }
-        Future<?> end = loop.schedule(() -> end(version), asked.waitMs(), TimeUnit.MILLISECONDS);
-        unconfirmed.add(new Unconfirmed(version, asked.acks(), answer, end));
+        Future<?> timeout = loop.schedule(() -> onAckTimeout(version), required.waitMs(), TimeUnit.MILLISECONDS);
+        pendingAcks.add(new PendingAck(version, required.acks(), answer, timeout));
     }
 
-    private void end(ConfigurationVersion version) {
-        unconfirmed.removeIf(each -> {
-            boolean ended = each.version().equals(version);
-            if (ended) {
-                each.answer().accept(Answer.published(Answer.NOT_YET_CONFIRMED, version.toString(), reports.holding(version)));
+    private void onAckTimeout(ConfigurationVersion version) {
+        pendingAcks.removeIf(each -> {
+            boolean timedOut = each.version().equals(version);
+            if (timedOut) {
+                each.answer().accept(Answer.published(Answer.NOT_CONFIRMED, version.toString(), reports.replicasHolding(version)));
             }
-            return ended;
+            return timedOut;
         });
     }
 
-    /** A replica has said what it holds, or a higher epoch was seen. */
-    void heard() {
-        stopped = served.stopped();
-        unconfirmed.removeIf(each -> {
-            int holding = reports.holding(each.version());
-            if (!stopped && holding < each.acks()) {
+    /** Called after a caller has reported its version, which may confirm changes or reveal a higher epoch. */
+    void onReport() {
+        stopped = served.publishingStopped();
+        pendingAcks.removeIf(each -> {
+            int replicasHolding = reports.replicasHolding(each.version());
+            if (!stopped && replicasHolding < each.acks()) {
                 return false;
             }
-            each.end().cancel(false);
-            each.answer().accept(stopped ? Answer.refused(Answer.FENCED, served.stoppedWhy() + "; " + each.version() + " may be lost")
-                : Answer.published(Answer.OK, each.version().toString(), holding));
+            each.timeout().cancel(false);
+            each.answer().accept(stopped ? Answer.refused(Answer.FENCED, served.stopReason() + "; " + each.version() + " may be lost")
+                : Answer.published(Answer.OK, each.version().toString(), replicasHolding));
             return true;
         });
     }
--- a/src/main/java/onyxpaddle/control/Reports.java
+++ b/src/main/java/onyxpaddle/control/Reports.java
@@ -7,57 +7,57 @@
 import java.util.concurrent.TimeUnit;
 import onyxpaddle.distribution.ConfigurationVersion;
 
-/** What nodes and replicas said last; of each kind a bounded number, the ones not heard of for longest go first. */
+/** The last report of each node and replica. Of each kind a bounded number is kept; the least recently updated is evicted first. */
 final class Reports {
-    static final int MOST_NODES = 16_384;
-    static final int MOST_FOLLOWERS = 64;
-    /** A follower calls every few seconds; one not heard of for this long is no more told of. */
-    private static final long FOLLOWER_GONE_NANOS = TimeUnit.MINUTES.toNanos(10);
+    static final int MAX_NODES = 16_384;
+    static final int MAX_FOLLOWERS = 64;
+    /** Replicas send a request every few seconds; one without a request for this long is no longer listed. */
+    private static final long FOLLOWER_EXPIRY_NANOS = TimeUnit.MINUTES.toNanos(10);
 
-    private record Heard(ConfigurationRequest request, long at) {
+    private record Received(ConfigurationRequest request, long at) {
     }
 
-    private final Map<String, Heard> nodes = newest(MOST_NODES);
-    private final Map<String, Heard> followers = newest(MOST_FOLLOWERS);
+    private final Map<String, Received> nodes = lruMap(MAX_NODES);
+    private final Map<String, Received> followers = lruMap(MAX_FOLLOWERS);
 
-    private static Map<String, Heard> newest(int most) {
+    private static Map<String, Received> lruMap(int max) {
         return new LinkedHashMap<>(16, 0.75f, true) {
             private static final long serialVersionUID = 1;
 
             @Override
-            protected boolean removeEldestEntry(Map.Entry<String, Heard> eldest) {
-                return size() > most;
+            protected boolean removeEldestEntry(Map.Entry<String, Received> eldest) {
+                return size() > max;
             }
         };
     }
 
-    void hear(ConfigurationRequest request, long now) {
-        Map<String, Heard> heard = request.replica() == null ? nodes : followers;
-        heard.put(request.replica() == null ? request.subscription().node() : request.replica(), new Heard(request, now));
+    void update(ConfigurationRequest request, long now) {
+        Map<String, Received> received = request.replica() == null ? nodes : followers;
+        received.put(request.replica() == null ? request.subscription().node() : request.replica(), new Received(request, now));
     }
 
-    /** How many replicas have that version durable. */
-    int holding(ConfigurationVersion version) {
-        return (int) followers.values().stream().filter(heard -> !version.isAfter(heard.request().after())).count();
+    /** Returns how many replicas have that version on disk. */
+    int replicasHolding(ConfigurationVersion version) {
+        return (int) followers.values().stream().filter(received -> !version.isAfter(received.request().after())).count();
     }
 
     List<FollowerReport> followers(long now) {
-        followers.values().removeIf(heard -> now - heard.at() > FOLLOWER_GONE_NANOS);
-        return followers.values().stream().map(heard -> new FollowerReport(heard.request().replica(), heard.request().after(),
-            age(heard, now))).sorted(Comparator.comparing(FollowerReport::id)).toList();
+        followers.values().removeIf(received -> now - received.at() > FOLLOWER_EXPIRY_NANOS);
+        return followers.values().stream().map(received -> new FollowerReport(received.request().replica(), received.request().after(),
+            ageMs(received, now))).sorted(Comparator.comparing(FollowerReport::id)).toList();
     }
 
     List<NodeReport> nodes(long now) {
-        return nodes.values().stream().map(heard -> report(heard, now)).sorted(Comparator.comparing(NodeReport::node)).toList();
+        return nodes.values().stream().map(received -> report(received, now)).sorted(Comparator.comparing(NodeReport::node)).toList();
     }
 
-    private static NodeReport report(Heard heard, long now) {
-        ConfigurationRequest said = heard.request();
-        return new NodeReport(said.subscription().node(), said.subscription().service(), said.after(), said.inForce(), said.refused(),
-            said.fault(), age(heard, now));
+    private static NodeReport report(Received received, long now) {
+        ConfigurationRequest last = received.request();
+        return new NodeReport(last.subscription().node(), last.subscription().service(), last.after(), last.inForce(), last.refused(),
+            last.fault(), ageMs(received, now));
     }
 
-    private static long age(Heard heard, long now) {
-        return TimeUnit.NANOSECONDS.toMillis(now - heard.at());
+    private static long ageMs(Received received, long now) {
+        return TimeUnit.NANOSECONDS.toMillis(now - received.at());
     }
 }
--- a/src/main/java/onyxpaddle/control/ServedConfiguration.java
+++ b/src/main/java/onyxpaddle/control/ServedConfiguration.java
@@ -10,120 +10,120 @@
 import onyxpaddle.distribution.FullUpdatePacer.Deferred;
 
 /**
- * Decides what a control process answers: what it tells is durable on its own disk. Does no I/O; times are nanoseconds of a
- * clock that does not go back. For one thread.
+ * The configuration that a control process serves, all of which is durable on its own disk, and the decision how to answer each request.
+ * Does no I/O. Times are nanoseconds of a monotonic clock. Not thread-safe.
  */
 final class ServedConfiguration {
-    /** About the most bytes of one answer, if no single version has more: a client on a line of 2 MB/s has it in 2 s. */
-    static final long PAGE_BYTES = 4L << 20;
-    /** Answers from this size on are paced like wholes; a node's budget for 8 s is 24 KB. */
-    static final long PACED_BYTES = 64L << 10;
+    /** Approximate maximum size of an answer, unless a single version is larger; takes a client 2 s at 2 MB/s. */
+    static final long MAX_PAGE_BYTES = 4L << 20;
+    /** Larger answers are rate-limited like full updates; a node's traffic budget for 8 s is 24 KB. */
+    static final long PACING_THRESHOLD_BYTES = 64L << 10;
 
-    /** What becomes of a call for configuration. */
-    sealed interface Reply permits Tell, Wait, NotNow {
+    /** How to answer a request for configuration. */
+    sealed interface Reply permits Deliver, Wait, RetryLater {
     }
 
-    /** Is answered now. */
-    record Tell(Update update) implements Reply {
+    /** Answer now with this update. */
+    record Deliver(Update update) implements Reply {
     }
 
-    /** There is no news for it yet. */
+    /** Hold the request until there is a newer version for it. */
     record Wait() implements Reply {
     }
 
-    /** Is to be asked again after this time. */
-    record NotNow(long waitNanos, String why) implements Reply {
+    /** Ask the caller to retry after this time. */
+    record RetryLater(long waitNanos, String reason) implements Reply {
     }
 
-    private static final long NO_STATE_WAIT_NANOS = TimeUnit.SECONDS.toNanos(1);
+    private static final long NO_STATE_RETRY_NANOS = TimeUnit.SECONDS.toNanos(1);
 
     private final boolean publisher;
     private final PublisherFence fence;
     private final FullUpdatePacer pacer;
     private ConfigurationTable table;
-    private boolean begun;
+    private boolean serving;
     private boolean lostChanges;
-    private boolean heard;
-    private long heardPublisherAt;
+    private boolean publisherContacted;
+    private long publisherContactAt;
 
     /**
-     * @param epoch 0 for a replica
-     * @param highestEpoch that was ever seen here
-     * @param table what is on disk
-     * @param begun whether that may be told already; else only after something newer or level was heard
+     * @param epoch the epoch of a publisher; 0 for a replica
+     * @param highestEpoch the highest epoch that this process has seen
+     * @param table the table on disk
+     * @param serving whether the table may be served at once; else only after an equal or newer version has been received
      */
-    ServedConfiguration(long epoch, long highestEpoch, ConfigurationTable table, boolean begun, long wholeBytesPerSecond) {
+    ServedConfiguration(long epoch, long highestEpoch, ConfigurationTable table, boolean serving, long fullUpdateBytesPerSecond) {
         publisher = epoch > 0;
         fence = new PublisherFence(epoch, Math.max(highestEpoch, table.version().epoch()));
-        pacer = new FullUpdatePacer(wholeBytesPerSecond);
+        pacer = new FullUpdatePacer(fullUpdateBytesPerSecond);
         this.table = table;
-        this.begun = begun && table.version().epoch() > 0;
+        this.serving = serving && table.version().epoch() > 0;
     }
 
     ConfigurationTable table() {
         return table;
     }
 
-    /** The version told; {@code NONE} while nothing is. */
+    /** Returns the version served; {@code NONE} while nothing is served. */
     ConfigurationVersion version() {
-        return begun ? table.version() : ConfigurationVersion.NONE;
+        return serving ? table.version() : ConfigurationVersion.NONE;
     }
 
-    /** What has been made durable. */
-    void durable(ConfigurationTable next) {
+    /** Serves a table that has become durable. */
+    void install(ConfigurationTable next) {
         table = next;
-        begun = true;
+        serving = true;
     }
 
-    /** A replica has heard of somebody whose news of the publisher is this old, and holds all that was told. */
-    void heard(long staleMs, long now) {
-        begun = table.version().epoch() > 0;
+    /** Called on a replica that is up to date with a process whose own last contact to the publisher was {@code staleMs} ago. */
+    void recordPublisherContact(long staleMs, long now) {
+        serving = table.version().epoch() > 0;
         if (staleMs < 0) {
             return;
         }
-        long at = now - TimeUnit.MILLISECONDS.toNanos(staleMs);
-        heardPublisherAt = heard && heardPublisherAt - at > 0 ? heardPublisherAt : at;
-        heard = true;
+        long contactAt = now - TimeUnit.MILLISECONDS.toNanos(staleMs);
+        publisherContactAt = publisherContacted && publisherContactAt - contactAt > 0 ? publisherContactAt : contactAt;
+        publisherContacted = true;
     }
 
-    /** As in {@link Update}. A fenced publisher is none, and has heard of none: its callers look elsewhere at once. */
+    /** As in {@link Update}. A fenced publisher reports no contact to a publisher, so that its callers switch at once. */
     long staleMs(long now) {
-        if (publisher && !stopped()) {
+        if (publisher && !publishingStopped()) {
             return 0;
         }
-        return heard ? TimeUnit.NANOSECONDS.toMillis(now - heardPublisherAt) : Update.NO_PUBLISHER_CONTACT;
+        return publisherContacted ? TimeUnit.NANOSECONDS.toMillis(now - publisherContactAt) : Update.NO_PUBLISHER_CONTACT;
     }
 
     /**
-     * A caller names a version that it holds.
+     * Takes note of a version that a caller holds.
      *
-     * @return whether an epoch was seen that is higher than all before, and is to be kept on disk
+     * @return whether its epoch is higher than all seen before, and must be persisted
      */
-    boolean hear(ConfigurationVersion held) {
-        // A publisher tells only its own versions: one of its epoch beyond its last is of before its disk lost it.
+    boolean observe(ConfigurationVersion held) {
+        // Only this publisher makes versions of its epoch: one later than its last was made before its disk lost it.
         lostChanges |= publisher && held.epoch() == table.version().epoch() && held.isAfter(table.version());
         return fence.observe(held.epoch());
     }
 
-    /** Whether this publisher may publish no more. */
-    boolean stopped() {
+    /** Whether this publisher must not publish any more. */
+    boolean publishingStopped() {
         return fence.fenced() || lostChanges;
     }
 
-    /** Why it may not. */
-    String stoppedWhy() {
+    /** Why {@link #publishingStopped}. */
+    String stopReason() {
         return fence.fenced() ? "a publisher of epoch " + fence.highestEpoch() + " has been seen: this one is fenced"
-            : "a caller holds a later version than this publisher made: its disk has lost changes; take over with a higher epoch";
+            : "a caller holds a later version than this publisher: its disk has lost changes; take over with a higher epoch";
     }
 
     long highestEpoch() {
         return fence.highestEpoch();
     }
 
-    /** How to answer a call; {@code mayWait}: false once its time has passed. */
+    /** Decides how to answer a request; {@code mayWait} is false once its waiting time has passed. */
     Reply reply(ConfigurationRequest request, boolean mayWait, long now) {
-        if (!begun) {
-            return new NotNow(NO_STATE_WAIT_NANOS, "no state yet");
+        if (!serving) {
+            return new RetryLater(NO_STATE_RETRY_NANOS, "no configuration to serve yet");
         }
         Update update = request.pageOf() == null ? table.deltaSince(request.after(), request.subscription(), staleMs(now))
             : table.remainingFullUpdate(request.after(), request.pageOf(), request.subscription(), staleMs(now));
@@ -132,11 +132,11 @@
                 && !table.hasChangesSince(request.after(), request.subscription())) {
             return new Wait();
         }
-        Update page = UpdatePager.firstPage(update, PAGE_BYTES);
+        Update page = UpdatePager.firstPage(update, MAX_PAGE_BYTES);
         long bytes = UpdatePager.estimatedBytes(page);
-        if ((page.full() || bytes > PACED_BYTES) && pacer.request(request.caller(), bytes, now) instanceof Deferred later) {
-            return new NotNow(later.waitNanos(), "whole answers are paced");
+        if ((page.full() || bytes > PACING_THRESHOLD_BYTES) && pacer.request(request.callerName(), bytes, now) instanceof Deferred delay) {
+            return new RetryLater(delay.waitNanos(), "full updates are rate-limited");
         }
-        return new Tell(page);
+        return new Deliver(page);
     }
 }
--- a/src/main/java/onyxpaddle/control/StateStore.java
+++ b/src/main/java/onyxpaddle/control/StateStore.java
@@ -13,14 +13,14 @@
 import onyxpaddle.distribution.SnapshotFile.Corrupt;
 import onyxpaddle.distribution.UpdateJson;
 
-/** A control process's state on disk: its table, and the highest epoch that it has seen. One thread at a time; waits for the disk. */
+/** A control process's state on disk: its table and the highest epoch seen. Blocking; for one thread at a time. */
 final class StateStore {
     /**
-     * What was found.
+     * The state found on disk.
      *
      * @param table {@code EMPTY} for none
-     * @param epoch the highest that was seen; 0 for none
-     * @param damage what can't be read; null where all can
+     * @param epoch the highest epoch seen; 0 for none
+     * @param damage what can't be read; null if everything can
      */
     record Loaded(ConfigurationTable table, long epoch, String damage) {
     }
@@ -50,22 +50,22 @@
     }
 
     private static byte[] bytes(ReadResult found) {
-        return found instanceof Intact sound ? sound.bytes() : found instanceof Fallback back ? back.bytes() : null;
+        return found instanceof Intact intact ? intact.bytes() : found instanceof Fallback fallback ? fallback.bytes() : null;
     }
 
     private static String damage(ReadResult found) {
-        return found instanceof Fallback back ? back.damage() : found instanceof Corrupt torn ? torn.damage() : null;
+        return found instanceof Fallback fallback ? fallback.damage() : found instanceof Corrupt corrupt ? corrupt.damage() : null;
     }
 
-    /** The bytes of a table as they are kept; more than {@link UpdateJson#MAX_BYTES} can't be read again. */
-    static byte[] encoded(ConfigurationTable table) {
+    /** Returns the stored form of a table; more than {@link UpdateJson#MAX_BYTES} can't be read back. */
+    static byte[] encode(ConfigurationTable table) {
         return UpdateJson.write(table.fullUpdate(Subscription.ALL, 0));
     }
 
     void write(ConfigurationTable table) throws IOException {
-        byte[] bytes = encoded(table);
+        byte[] bytes = encode(table);
         if (bytes.length > UpdateJson.MAX_BYTES) {
-            throw new IOException("the configuration has " + bytes.length + " bytes; at most " + UpdateJson.MAX_BYTES + " are kept");
+            throw new IOException("the configuration has " + bytes.length + " bytes; at most " + UpdateJson.MAX_BYTES + " can be stored");
         }
         tables.write(bytes);
     }
--- a/src/main/java/onyxpaddle/control/Status.java
+++ b/src/main/java/onyxpaddle/control/Status.java
@@ -4,11 +4,11 @@
 import onyxpaddle.distribution.ConfigurationVersion;
 
 /**
- * How a control process stands.
+ * Status of a control process.
  *
- * @param version what it tells; {@code NONE} while it has nothing to tell
+ * @param version the version that it serves; {@code NONE} if none
  * @param staleMs as in {@link onyxpaddle.distribution.Update}
- * @param fenced a publisher that has seen a later one
+ * @param fenced whether it is a publisher that has seen a later one
  */
 public record Status(String id, boolean publisher, boolean fenced, ConfigurationVersion version, long staleMs, int waiting,
         List<FollowerReport> followers, List<NodeReport> nodes) {
--- a/src/main/java/onyxpaddle/control/StatusJson.java
+++ b/src/main/java/onyxpaddle/control/StatusJson.java
@@ -11,9 +11,9 @@
 import java.util.List;
 import onyxpaddle.distribution.ConfigurationVersion;
 
-/** A control process's status as JSON. */
+/** JSON form of {@link Status}. */
 public final class StatusJson {
-    /** 16,384 nodes, each with a fault of 300 characters, most of them escaped. */
+    /** Fits 16,384 nodes, each with a fault of 300 characters of which most are escaped. */
     public static final int MAX_BYTES = 32 << 20;
     private static final JsonFactory JSON = new JsonFactory();
 
@@ -68,7 +68,7 @@
         json.writeEndObject();
     }
 
-    /** Reads a status, of another version of the program too: what is not known is passed over. */
+    /** Reads a status. Unknown fields are ignored, for compatibility with other versions of the program. */
     public static Status read(byte[] bytes) throws IOException {
         try (JsonParser parser = JSON.createParser(bytes)) {
             String id = "";
--- a/src/test/java/onyxpaddle/control/Await.java
+++ b/src/test/java/onyxpaddle/control/Await.java
@@ -3,13 +3,13 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Supplier;
 
-/** Waits for events that other processes bring about. */
+/** Waits for conditions that other processes bring about. */
 final class Await {
-    /** No verdict depends on the machine's speed: far longer than any of the events takes. */
-    private static final long END_NANOS = TimeUnit.SECONDS.toNanos(60);
-    private static final long LOOK_MS = 5;
+    /** Far longer than any awaited event takes, so that no result depends on the machine's speed. */
+    private static final long TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(60);
+    private static final long POLL_MS = 5;
 
-    /** Something that becomes true; what it throws counts as not yet. */
+    /** A condition that is awaited; an exception counts as false. */
     interface Condition {
         boolean holds() throws Exception;
     }
@@ -18,12 +18,12 @@
     }
 
     /**
-     * Returns once the condition holds.
+     * Polls until the condition holds.
      *
-     * @param what what did not happen, for the message
-     * @param state what is known at the end, for the message
-     * @return how long it took, in milliseconds
-     * @throws AssertionError if it doesn't within a minute
+     * @param what the awaited event, for the failure message
+     * @param state details for the failure message
+     * @return the time waited, in milliseconds
+     * @throws AssertionError if it does not hold within a minute
      */
     static long until(String what, Condition condition, Supplier<String> state) throws InterruptedException {
         long begin = System.nanoTime();
@@ -39,10 +39,10 @@
             } catch (Exception e) {
                 last = e;
             }
-            if (System.nanoTime() - begin > END_NANOS) {
+            if (System.nanoTime() - begin > TIMEOUT_NANOS) {
                 throw new AssertionError("not within a minute: " + what + "; " + state.get(), last);
             }
-            TimeUnit.MILLISECONDS.sleep(LOOK_MS);
+            TimeUnit.MILLISECONDS.sleep(POLL_MS);
         }
     }
 }
--- a/src/test/java/onyxpaddle/control/Changes.java
+++ b/src/test/java/onyxpaddle/control/ChangeBody.java
@@ -8,39 +8,39 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The body of a change of the configuration, and the values that these tests use. */
-final class Changes {
-    /** Whom the fleets' nodes serve. */
+/** Builds the body of a request for changes; also holds the keys and values that these tests use. */
+final class ChangeBody {
+    /** The service of the nodes. */
     static final String SERVICE = "booking";
-    /** The key that tells which version is in force: see {@link #routesTo}. */
+    /** The key whose value in force the tests observe, see {@link #routesTo}. */
     static final String ROUTES = "service/" + SERVICE + "/routes";
 
-    /** A new value of one key; null takes it away. */
+    /** A new value of one key; null removes the entry. */
     private record Change(String key, String value) {
     }
 
     private final String base;
     private final List<Change> changes = new ArrayList<>();
 
-    private Changes(String base) {
+    private ChangeBody(String base) {
         this.base = base;
     }
 
-    static Changes of(String key, String value) {
-        return new Changes(null).and(key, value);
+    static ChangeBody of(String key, String value) {
+        return new ChangeBody(null).and(key, value);
     }
 
-    /** Refused where one of the keys has changed since that version. */
-    static Changes since(String base, String key, String value) {
-        return new Changes(base).and(key, value);
+    /** Changes that are refused if one of their keys has changed after the base version. */
+    static ChangeBody since(String base, String key, String value) {
+        return new ChangeBody(base).and(key, value);
     }
 
-    Changes and(String key, String value) {
+    ChangeBody and(String key, String value) {
         changes.add(new Change(key, value));
         return this;
     }
 
-    /** Routes with which a node's probe is answered with this path. */
+    /** Returns routes under which a node's probe is answered with this path. */
     static String routesTo(String path) {
         return "- {name: probe, listener: in, path: /probe, pool: backend, class: probe, rewrite: " + path + "}\n";
     }
--- a/src/test/java/onyxpaddle/control/ConfigurationChangesIT.java
+++ b/src/test/java/onyxpaddle/control/ConfigurationChangesIT.java
@@ -22,11 +22,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Changes that are many, at once, senseless, or come while nodes start. One fleet: a publisher, two replicas, four nodes. */
+/**
+ * Changes that are numerous, concurrent or invalid, or published while nodes start. All tests share a fleet of a publisher, two replicas
+ * and four nodes.
+ */
 class ConfigurationChangesIT {
-    /** What operators allow a node in the eight seconds within which a change is in force: 3 KB/s. */
-    private static final long MOST_BYTES = 24 * 1024;
-    private static final int MANY = 1_000;
+    /** A node's traffic budget of 3 KB/s, over the 8 s within which a change must be in force. */
+    private static final long MAX_BYTES = 24 * 1024;
+    private static final int VERSIONS_BEHIND = 1_000;
 
     @TempDir
     private static Path folder;
@@ -47,7 +50,7 @@
         for (int i = 0; i < 4; i++) {
             fleet.startNode("n" + i, first, second);
         }
-        publisher.awaitAnswering();
+        publisher.awaitReady();
     }
 
     @AfterAll
@@ -55,74 +58,77 @@
         fleet.close();
     }
 
-    private static Changes next() {
-        return Changes.of(Changes.ROUTES, Changes.routesTo("/v" + ++changes));
+    private static ChangeBody next() {
+        return ChangeBody.of(ChangeBody.ROUTES, ChangeBody.routesTo("/v" + ++changes));
     }
 
     private static String newest() {
         return "/v" + changes;
     }
 
-    /** Runs both in one moment, and returns how they ended. */
-    private static <T> List<T> atOnce(java.util.concurrent.Callable<T> one, java.util.concurrent.Callable<T> other) throws Exception {
+    /** Runs both tasks concurrently, and returns their results. */
+    private static <T> List<T> runConcurrently(java.util.concurrent.Callable<T> one, java.util.concurrent.Callable<T> other)
+            throws Exception {
         ExecutorService both = Executors.newFixedThreadPool(2);
         try {
-            CountDownLatch go = new CountDownLatch(1);
-            List<Future<T>> ends = new ArrayList<>();
+            CountDownLatch start = new CountDownLatch(1);
+            List<Future<T>> results = new ArrayList<>();
             for (java.util.concurrent.Callable<T> task : List.of(one, other)) {
-                ends.add(both.submit(() -> {
-                    go.await();
+                results.add(both.submit(() -> {
+                    start.await();
                     return task.call();
                 }));
             }
-            go.countDown();
-            return List.of(ends.get(0).get(), ends.get(1).get());
+            start.countDown();
+            return List.of(results.get(0).get(), results.get(1).get());
         } finally {
             both.shutdownNow();
         }
     }
 
-    /** What the replica that a node calls knows of it; null while it doesn't. */
-    private static NodeReport lineOf(ConfiguredNode node) throws Exception {
-        return node.attachedTo().status().nodes().stream().filter(line -> line.node().equals(node.name())).findFirst().orElse(null);
+    /** Returns the last report of a node at the replica that it uses; null if there is none yet. */
+    private static NodeReport reportOf(ConfiguredNode node) throws Exception {
+        return node.activeControl().status().nodes().stream().filter(report -> report.node().equals(node.name())).findFirst().orElse(null);
     }
 
     @Test
-    void aNodeThatIsAThousandVersionsBehindGetsOneDifference() throws Exception {
+    void aNodeAThousandVersionsBehindCatchesUpWithOneDelta() throws Exception {
         publisher.publish(next());
         fleet.awaitInForce(newest());
         ConfiguredNode behind = fleet.nodes().get(0);
-        ConfigurationVersion left = publisher.status().version();
+        ConfigurationVersion held = publisher.status().version();
         behind.process().kill();
-        for (int i = 0; i < MANY; i++) {
-            publisher.publish(i % 2 == 0 ? next() : Changes.of("node/elsewhere/pools.spare-" + i % 20, spareServers(i)));
+        for (int i = 0; i < VERSIONS_BEHIND; i++) {
+            publisher.publish(i % 2 == 0 ? next() : ChangeBody.of("node/elsewhere/pools.spare-" + i % 20, poolWithServer(i)));
         }
-        assertEquals(left.number() + MANY, publisher.status().version().number());
+        assertEquals(held.number() + VERSIONS_BEHIND, publisher.status().version().number());
         long bytes = behind.controlBytes();
         behind.start();
         behind.awaitInForce(newest());
         long spent = behind.controlBytes() - bytes;
-        System.out.println(MANY + " versions behind: caught up with " + spent + " bytes");
-        assertTrue(spent <= MOST_BYTES, spent + " bytes");
-        assertEquals(List.of(Changes.ROUTES), publisher.told(left).entries().stream().map(entry -> entry.key().toString()).toList());
-        assertEquals(false, publisher.told(left).full());
+        System.out.println(VERSIONS_BEHIND + " versions behind: caught up with " + spent + " bytes");
+        assertTrue(spent <= MAX_BYTES, spent + " bytes");
+        assertEquals(List.of(ChangeBody.ROUTES),
+            publisher.fetchUpdate(held).entries().stream().map(entry -> entry.key().toString()).toList());
+        assertEquals(false, publisher.fetchUpdate(held).full());
     }
 
-    private static String spareServers(int number) {
+    private static String poolWithServer(int number) {
         return "servers: [\"127.0.0.1:" + (7000 + number) + "\"]\n";
     }
 
     @Test
-    void twoPublishInOneMomentByTheCommand() throws Exception {
+    void twoConcurrentPublishCommandsBothSucceed() throws Exception {
         Path probe = Files.writeString(folder.resolve("probe.yaml"), "{effect: safe, deadline: 3 s}\n");
-        Path routes = Files.writeString(folder.resolve("routes.yaml"), Changes.routesTo("/v" + ++changes));
-        List<Integer> codes = atOnce(() -> publishByCommand("one", "fleet/classes.probe=" + probe),
-            () -> publishByCommand("other", Changes.ROUTES + "=" + routes));
+        Path routes = Files.writeString(folder.resolve("routes.yaml"), ChangeBody.routesTo("/v" + ++changes));
+        List<Integer> codes = runConcurrently(() -> publishByCommand("one", "fleet/classes.probe=" + probe),
+            () -> publishByCommand("other", ChangeBody.ROUTES + "=" + routes));
         assertEquals(List.of(0, 0), codes);
         fleet.awaitInForce(newest());
         for (ControlMachine replica : List.of(first, second)) {
-            List<String> keys = replica.told(ConfigurationVersion.NONE).entries().stream().map(entry -> entry.key().toString()).toList();
-            assertTrue(keys.containsAll(List.of("fleet/classes.probe", Changes.ROUTES)), keys.toString());
+            List<String> keys = replica.fetchUpdate(ConfigurationVersion.NONE).entries().stream()
+                .map(entry -> entry.key().toString()).toList();
+            assertTrue(keys.containsAll(List.of("fleet/classes.probe", ChangeBody.ROUTES)), keys.toString());
         }
     }
 
@@ -132,54 +138,54 @@
     }
 
     @Test
-    void ofTwoChangesOfOneKeyFromOneBaseOneIsTaken() throws Exception {
+    void ofTwoConflictingChangesOneIsAccepted() throws Exception {
         String base = publisher.publish(next()).toString();
         int number = ++changes;
-        List<Answer> answers = atOnce(
-            () -> publisher.post(Changes.since(base, Changes.ROUTES, Changes.routesTo("/v" + number + "a")), 0),
-            () -> publisher.post(Changes.since(base, Changes.ROUTES, Changes.routesTo("/v" + number + "b")), 0));
+        List<Answer> answers = runConcurrently(
+            () -> publisher.post(ChangeBody.since(base, ChangeBody.ROUTES, ChangeBody.routesTo("/v" + number + "a")), 0),
+            () -> publisher.post(ChangeBody.since(base, ChangeBody.ROUTES, ChangeBody.routesTo("/v" + number + "b")), 0));
         assertEquals(List.of(200, 409), answers.stream().map(Answer::status).sorted().toList());
         fleet.awaitInForce("/v" + number + (answers.get(0).status() == 200 ? "a" : "b"));
     }
 
     @Test
-    void aSectionThatIsWrongIsRefusedWithItsPlace() throws Exception {
+    void anInvalidSectionIsRefusedWithItsLocation() throws Exception {
         ConfigurationVersion before = publisher.status().version();
-        Answer answer = publisher.post(Changes.of(Changes.ROUTES, Changes.routesTo("/x")).and("fleet/classes.slow",
+        Answer answer = publisher.post(ChangeBody.of(ChangeBody.ROUTES, ChangeBody.routesTo("/x")).and("fleet/classes.slow",
             "effect: safe\ndeadline: soon\n"), 0);
         assertEquals(422, answer.status());
         assertTrue(answer.body().contains("fleet/classes.slow:2:11: "), answer.body());
-        assertEquals(before, publisher.status().version(), "all of a change or nothing");
+        assertEquals(before, publisher.status().version(), "changes are atomic");
     }
 
     @Test
-    void aChangeThatOnlyANodeCanSeeIsWrongStaysOutOfForce() throws Exception {
+    void aChangeThatOnlyNodesCanRejectDoesNotComeIntoForce() throws Exception {
         publisher.publish(next());
         String good = newest();
         fleet.awaitInForce(good);
-        List<SteadyCaller> callers = fleet.nodes().stream().map(node -> new SteadyCaller(node, good)).toList();
+        List<ContinuousCaller> callers = fleet.nodes().stream().map(node -> new ContinuousCaller(node, good)).toList();
         try {
             String wrong = "- {name: probe, listener: in, path: /probe, pool: nowhere, class: probe, rewrite: /wrong}\n";
-            ConfigurationVersion refused = publisher.publish(Changes.of(Changes.ROUTES, wrong));
+            ConfigurationVersion refused = publisher.publish(ChangeBody.of(ChangeBody.ROUTES, wrong));
             for (ConfiguredNode node : fleet.nodes()) {
                 Await.until(node.name() + " refuses " + refused, () -> {
-                    NodeReport line = lineOf(node);
-                    return line != null && refused.equals(line.refused());
+                    NodeReport report = reportOf(node);
+                    return report != null && refused.equals(report.refused());
                 }, node.process()::log);
-                NodeReport line = lineOf(node);
-                assertNotNull(line);
-                assertTrue(line.fault().contains(Changes.ROUTES) && line.fault().contains("nowhere"), line.toString());
-                assertNotEquals(refused, line.inForce());
+                NodeReport report = reportOf(node);
+                assertNotNull(report);
+                assertTrue(report.fault().contains(ChangeBody.ROUTES) && report.fault().contains("nowhere"), report.toString());
+                assertNotEquals(refused, report.inForce());
                 assertTrue(node.process().log().contains("nowhere"), node.process().log());
             }
-            for (SteadyCaller caller : callers) {
+            for (ContinuousCaller caller : callers) {
                 int goal = caller.answered() + 50;
-                Await.until("fifty more answers", () -> caller.answered() >= goal, () -> "");
+                Await.until("50 more answers", () -> caller.answered() >= goal, () -> "");
                 assertEquals(List.of(), caller.end(), caller::nodeLog);
             }
             assertTrue(statusByCommand().contains("nowhere"), "`control status` names the fault");
         } finally {
-            for (SteadyCaller caller : callers) {
+            for (ContinuousCaller caller : callers) {
                 caller.end();
             }
         }
@@ -189,13 +195,13 @@
 
     private static String statusByCommand() throws Exception {
         ProgramProcess status = ProgramProcess.start(folder.resolve("status.log"), List.of("control", "status", "--control",
-            ServeProcess.text(fleet.nodes().get(0).attachedTo().address())));
+            ServeProcess.text(fleet.nodes().get(0).activeControl().address())));
         assertEquals(0, status.exitCode(), status.log());
         return status.log();
     }
 
     @Test
-    void halfOfTheNodesStartWhileAChangeComes() throws Exception {
+    void aChangeReachesNodesThatAreStarting() throws Exception {
         publisher.publish(next());
         fleet.awaitInForce(newest());
         List<ConfiguredNode> half = IntStream.of(1, 3).mapToObj(fleet.nodes()::get).toList();
@@ -204,6 +210,6 @@
             node.start();
         }
         publisher.publish(next());
-        System.out.println("half of the nodes starting: all in " + fleet.awaitInForce(newest()) + " ms");
+        System.out.println("half of the nodes starting: in force on all nodes after " + fleet.awaitInForce(newest()) + " ms");
     }
 }
--- a/src/test/java/onyxpaddle/control/ConfiguredNode.java
+++ b/src/test/java/onyxpaddle/control/ConfiguredNode.java
@@ -20,13 +20,13 @@
 import onyxpaddle.drill.ServeProcess;
 
 /**
- * A sidecar with a small file of its own, told by control processes that each are behind a link. What it has in force is asked of it
- * by an ordinary request, so that what is judged is what callers meet.
+ * A sidecar process with a small configuration file of its own, which reaches each control process through a link. The tests determine
+ * its configuration in force by an ordinary request, as callers see it.
  */
 final class ConfiguredNode {
-    /** What the file of the node itself says. */
+    /** The path in the node's own configuration file. */
     static final String OWN_PATH = "/own";
-    private static final Duration LONGEST_CALL = Duration.ofSeconds(5);
+    private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(5);
     private static final String FILE = """
         version: 1
         name: %s
@@ -36,20 +36,20 @@
         routes:
         %s""";
 
-    private final HttpClient client = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).connectTimeout(LONGEST_CALL).build();
+    private final HttpClient client = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).connectTimeout(REQUEST_TIMEOUT).build();
     private final String name;
     private final InetSocketAddress address = ServeProcess.freePort();
     private final Path folder;
     private final Path file;
-    /** By the control process that it leads to. */
-    private final Map<ControlMachine, CuttableLink> links = new LinkedHashMap<>();
+    /** The link to each control process. */
+    private final Map<ControlMachine, PartitionableLink> links = new LinkedHashMap<>();
     private ProgramProcess process;
 
     ConfiguredNode(String name, Path folder, EchoServer backend) throws IOException {
         this.name = name;
         this.folder = Files.createDirectories(folder);
         this.file = folder.resolve(name + ".yaml");
-        Files.writeString(file, FILE.formatted(name, ServeProcess.text(address), backend.address(), Changes.routesTo(OWN_PATH)));
+        Files.writeString(file, FILE.formatted(name, ServeProcess.text(address), backend.address(), ChangeBody.routesTo(OWN_PATH)));
     }
 
     String name() {
@@ -60,22 +60,22 @@
         return folder.resolve("state");
     }
 
-    void addLink(ControlMachine to, CuttableLink link) {
+    void addLink(ControlMachine to, PartitionableLink link) {
         links.put(to, link);
     }
 
-    CuttableLink link(ControlMachine to) {
+    PartitionableLink link(ControlMachine to) {
         return links.get(to);
     }
 
-    List<CuttableLink> links() {
+    List<PartitionableLink> links() {
         return new ArrayList<>(links.values());
     }
 
     ConfiguredNode start() throws IOException {
-        List<String> control = links.values().stream().map(CuttableLink::address).toList();
+        List<String> control = links.values().stream().map(PartitionableLink::address).toList();
         process = ProgramProcess.start(folder.resolve(name + ".log"), List.of("serve", "--config", file.toString(), "--control",
-            String.join(",", control), "--service", Changes.SERVICE, "--state", state().toString()));
+            String.join(",", control), "--service", ChangeBody.SERVICE, "--state", state().toString()));
         return this;
     }
 
@@ -83,10 +83,10 @@
         return process;
     }
 
-    /** The path with which its probe is answered: which routes are in force. */
+    /** Returns the path that its probe is answered with, which identifies the routes in force. */
     String inForce() throws IOException, InterruptedException {
         HttpRequest request = HttpRequest.newBuilder(URI.create("http://" + ServeProcess.text(address) + "/probe"))
-            .timeout(LONGEST_CALL).build();
+            .timeout(REQUEST_TIMEOUT).build();
         HttpResponse<String> response = client.send(request, BodyHandlers.ofString());
         if (response.statusCode() != 200) {
             throw new IOException(name + " answered " + response.statusCode() + ": " + response.body());
@@ -94,12 +94,12 @@
         return response.body();
     }
 
-    /** Waits until requests are answered by the routes to that path; returns after how many milliseconds that was. */
+    /** Waits until the routes to that path are in force; returns how many milliseconds that took. */
     long awaitInForce(String path) throws InterruptedException {
         return Await.until(name + " has " + path + " in force", () -> path.equals(inForce()), process::log);
     }
 
-    /** As {@link #awaitInForce}; until then requests are answered by the routes to {@code before}, and by no others. */
+    /** Like {@link #awaitInForce}, but fails if routes other than those to {@code before} are in force until then. */
     void awaitInForceAfter(String before, String path) throws InterruptedException {
         Await.until(name + " has " + path + " in force", () -> {
             String seen = inForce();
@@ -108,19 +108,19 @@
         }, process::log);
     }
 
-    /** The control process that it exchanged something with last. */
-    ControlMachine attachedTo() {
+    /** Returns the control process that it last exchanged data with. */
+    ControlMachine activeControl() {
         return links.entrySet().stream().max(Comparator.comparingLong(link -> link.getValue().lastNanos())).orElseThrow().getKey();
     }
 
-    /** Bytes that it has exchanged with all control processes so far, both directions together. */
+    /** Returns the bytes exchanged with all control processes so far, in both directions. */
     long controlBytes() {
-        return links.values().stream().mapToLong(CuttableLink::bytes).sum();
+        return links.values().stream().mapToLong(PartitionableLink::bytes).sum();
     }
 
-    /** Ends its process and its links. */
+    /** Kills the process and closes its links. */
     void end() throws InterruptedException {
-        links.values().forEach(CuttableLink::close);
+        links.values().forEach(PartitionableLink::close);
         if (process != null) {
             process.kill();
         }
--- a/src/test/java/onyxpaddle/control/SteadyCaller.java
+++ b/src/test/java/onyxpaddle/control/ContinuousCaller.java
@@ -4,31 +4,31 @@
 import java.util.List;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** Asks a node for its probe, one request after the other, and keeps what was not answered as it should be. */
-final class SteadyCaller {
+/** Sends probe requests to a node, one after the other, and collects failures and unexpected answers. */
+final class ContinuousCaller {
     private final ConfiguredNode node;
     private final String expected;
     private final Thread thread = new Thread(this::call, "caller");
     private final AtomicInteger answered = new AtomicInteger();
-    private final List<String> wrong = new ArrayList<>();
-    private volatile boolean over;
+    private final List<String> failures = new ArrayList<>();
+    private volatile boolean stopped;
 
-    /** Begins to call; each answer is to be this path. */
-    SteadyCaller(ConfiguredNode node, String expected) {
+    /** Starts at once; each answer must be this path. */
+    ContinuousCaller(ConfiguredNode node, String expected) {
         this.node = node;
         this.expected = expected;
         thread.start();
     }
 
     private void call() {
-        while (!over) {
+        while (!stopped) {
             try {
                 String path = node.inForce();
                 if (!path.equals(expected)) {
-                    wrong.add("answered by " + path);
+                    failures.add("answered by " + path);
                 }
             } catch (java.io.IOException e) {
-                wrong.add(e.toString());
+                failures.add(e.toString());
             } catch (InterruptedException e) {
                 return;
             }
@@ -36,20 +36,20 @@
         }
     }
 
-    /** Requests that have ended so far, well or not. */
+    /** Returns the number of requests completed so far, including failed ones. */
     int answered() {
         return answered.get();
     }
 
-    /** What the node that it calls has written, for messages. */
+    /** Returns the log of the node, for failure messages. */
     String nodeLog() {
         return node.process().log();
     }
 
-    /** Ends it, and returns what was wrong. */
+    /** Stops and returns the failures. */
     List<String> end() throws InterruptedException {
-        over = true;
+        stopped = true;
         thread.join();
-        return wrong;
+        return failures;
     }
 }
--- a/src/test/java/onyxpaddle/control/ControlConnectionTest.java
+++ b/src/test/java/onyxpaddle/control/ControlConnectionTest.java
@@ -17,43 +17,43 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** One connection on a clock that is moved by hand. */
+/** One connection on a manually advanced clock. */
 class ControlConnectionTest {
-    private final List<String> called = new ArrayList<>();
-    private final ControlConnection.Calls calls = new ControlConnection.Calls() {
+    private final List<String> requests = new ArrayList<>();
+    private final ControlConnection.RequestHandler requestHandler = new ControlConnection.RequestHandler() {
         @Override
-        public void call(ControlConnection connection, HttpMethod method, String uri, byte[] body) {
-            called.add(method + " " + uri + " " + body.length);
+        public void handle(ControlConnection connection, HttpMethod method, String uri, byte[] body) {
+            requests.add(method + " " + uri + " " + body.length);
         }
 
         @Override
-        public boolean openBody() {
+        public boolean tryAcquireBody() {
             bodies++;
-            return bodies <= mostBodies;
+            return bodies <= maxBodies;
         }
 
         @Override
-        public void closeBody() {
+        public void releaseBody() {
             bodies--;
         }
 
         @Override
-        public void ended(ControlConnection connection) {
-            ended++;
+        public void onDisconnect(ControlConnection connection) {
+            disconnects++;
         }
     };
-    private final ControlConnection connection = new ControlConnection(calls);
+    private final ControlConnection connection = new ControlConnection(requestHandler);
     private EmbeddedChannel channel;
     private int bodies;
-    private int mostBodies = 1;
-    private int ended;
+    private int maxBodies = 1;
+    private int disconnects;
 
     @BeforeEach
     void open() {
         channel = new EmbeddedChannel(new HttpServerCodec(100, 100, 64), connection);
         channel.freezeTime();
-        // Its deadline was set before the clock stood still.
-        pass(0);
+        // Its timeout was scheduled before the clock was frozen.
+        advanceClock(0);
     }
 
     @AfterEach
@@ -65,13 +65,13 @@
         channel.writeInbound(Unpooled.copiedBuffer(text, StandardCharsets.US_ASCII));
     }
 
-    private void pass(int seconds) {
+    private void advanceClock(int seconds) {
         channel.advanceTimeBy(seconds, TimeUnit.SECONDS);
         channel.runScheduledPendingTasks();
         channel.runPendingTasks();
     }
 
-    private String answered() {
+    private String takeOutput() {
         StringBuilder text = new StringBuilder();
         for (ByteBuf part = channel.readOutbound(); part != null; part = channel.readOutbound()) {
             text.append(part.toString(StandardCharsets.US_ASCII));
@@ -82,97 +82,97 @@
 
     @Test
     void anIdleConnectionIsClosed() {
-        pass(ControlConnection.CALL_WITHIN_SECONDS - 1);
+        advanceClock(ControlConnection.REQUEST_TIMEOUT_SECONDS - 1);
         assertTrue(channel.isActive());
-        pass(2);
+        advanceClock(2);
         assertFalse(channel.isActive());
-        assertEquals(1, ended);
+        assertEquals(1, disconnects);
     }
 
     @Test
-    void aHeadOrABodyThatTricklesDoesNotKeepItOpen() {
-        String call = "POST /v1/changes HTTP/1.1\r\nContent-Length: 40\r\n\r\n";
+    void aSlowHeadOrBodyTimesOut() {
+        String request = "POST /v1/changes HTTP/1.1\r\nContent-Length: 40\r\n\r\n";
         int seconds = 0;
-        while (channel.isActive() && seconds <= ControlConnection.CALL_WITHIN_SECONDS) {
-            send(seconds < 20 ? call.substring(seconds, seconds + 1) : seconds == 20 ? call.substring(20) : "x");
-            pass(1);
+        while (channel.isActive() && seconds <= ControlConnection.REQUEST_TIMEOUT_SECONDS) {
+            send(seconds < 20 ? request.substring(seconds, seconds + 1) : seconds == 20 ? request.substring(20) : "x");
+            advanceClock(1);
             seconds++;
         }
         assertFalse(channel.isActive());
-        assertEquals(ControlConnection.CALL_WITHIN_SECONDS, seconds);
-        assertEquals(List.of(), called);
+        assertEquals(ControlConnection.REQUEST_TIMEOUT_SECONDS, seconds);
+        assertEquals(List.of(), requests);
         assertEquals(0, bodies);
     }
 
     @Test
-    void aCallThatWaitsIsNotIdle() {
+    void aPendingRequestIsNotIdle() {
         send("GET /a HTTP/1.1\r\n\r\n");
-        pass(10 * ControlConnection.CALL_WITHIN_SECONDS);
+        advanceClock(10 * ControlConnection.REQUEST_TIMEOUT_SECONDS);
         assertTrue(channel.isActive());
         connection.answer(Answer.ok(new byte[0]));
-        assertTrue(answered().startsWith("HTTP/1.1 200"));
-        pass(ControlConnection.CALL_WITHIN_SECONDS - 1);
+        assertTrue(takeOutput().startsWith("HTTP/1.1 200"));
+        advanceClock(ControlConnection.REQUEST_TIMEOUT_SECONDS - 1);
         send("GET /b HTTP/1.1\r\n\r\n");
-        assertEquals(List.of("GET /a 0", "GET /b 0"), called);
+        assertEquals(List.of("GET /a 0", "GET /b 0"), requests);
         connection.answer(Answer.ok(new byte[0]));
-        pass(ControlConnection.CALL_WITHIN_SECONDS + 1);
+        advanceClock(ControlConnection.REQUEST_TIMEOUT_SECONDS + 1);
         assertFalse(channel.isActive());
     }
 
     @Test
-    void aSecondCallBeforeTheAnswerEndsTheConnection() {
+    void pipeliningClosesTheConnection() {
         send("GET /a HTTP/1.1\r\n\r\nGET /b HTTP/1.1\r\n\r\n");
         assertFalse(channel.isActive());
-        assertEquals(List.of("GET /a 0"), called);
+        assertEquals(List.of("GET /a 0"), requests);
     }
 
     @Test
-    void longLinesAndHeadsAndNoiseAreRefused() {
+    void aTooLongRequestLineIsRefused() {
         send("GET /" + "a".repeat(200) + " HTTP/1.1\r\n\r\n");
-        assertTrue(answered().startsWith("HTTP/1.1 400"));
+        assertTrue(takeOutput().startsWith("HTTP/1.1 400"));
         assertFalse(channel.isActive());
-        assertEquals(List.of(), called);
+        assertEquals(List.of(), requests);
     }
 
     @Test
-    void noiseIsRefused() {
+    void malformedRequestsAreRefused() {
         send("\u0001\u0002 noise\r\n\r\n");
         assertFalse(channel.isActive());
-        assertEquals(List.of(), called);
+        assertEquals(List.of(), requests);
     }
 
     @Test
-    void aBodyIsTakenWholeAndBounded() {
+    void aBodyIsBufferedCompletelyUpToTheLimit() {
         send("POST /v1/changes HTTP/1.1\r\nContent-Length: 3\r\n\r\nab");
         assertEquals(1, bodies);
-        assertEquals(List.of(), called);
+        assertEquals(List.of(), requests);
         send("c");
-        assertEquals(List.of("POST /v1/changes 3"), called);
+        assertEquals(List.of("POST /v1/changes 3"), requests);
         assertEquals(0, bodies);
         connection.answer(Answer.ok(new byte[0]));
-        answered();
+        takeOutput();
         send("POST /v1/changes HTTP/1.1\r\nContent-Length: " + (ChangeJson.MAX_BYTES + 1) + "\r\n\r\nab");
-        assertTrue(answered().startsWith("HTTP/1.1 413"));
+        assertTrue(takeOutput().startsWith("HTTP/1.1 413"));
         assertFalse(channel.isActive());
     }
 
     @Test
-    void aBodyWithoutALengthIsBoundedToo() {
+    void aChunkedBodyIsLimited() {
         send("POST /v1/changes HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n");
         String piece = "10000\r\n" + "x".repeat(0x10000) + "\r\n";
         for (int i = 0; i <= ChangeJson.MAX_BYTES / 0x10000 && channel.isActive(); i++) {
             send(piece);
         }
-        assertTrue(answered().startsWith("HTTP/1.1 413"));
+        assertTrue(takeOutput().startsWith("HTTP/1.1 413"));
         assertEquals(0, bodies);
-        assertEquals(List.of(), called);
+        assertEquals(List.of(), requests);
     }
 
     @Test
-    void bodiesBeyondTheMostAreToldToComeAgain() {
-        mostBodies = 0;
+    void bodiesBeyondTheMaximumAreAskedToRetry() {
+        maxBodies = 0;
         send("POST /v1/changes HTTP/1.1\r\nContent-Length: 3\r\n\r\nabc");
-        assertTrue(answered().startsWith("HTTP/1.1 503"));
-        assertEquals(List.of(), called);
+        assertTrue(takeOutput().startsWith("HTTP/1.1 503"));
+        assertEquals(List.of(), requests);
     }
 }
--- a/src/test/java/onyxpaddle/control/ControlDisksIT.java
+++ b/src/test/java/onyxpaddle/control/ControlDiskFaultsIT.java
@@ -20,8 +20,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Disks that are full or torn, and nodes that find nobody. One fleet, which each test leaves whole: a publisher, a replica, a node. */
-class ControlDisksIT {
+/**
+ * Disks that are full or corrupt, and nodes without control processes. All tests share a fleet of a publisher, a replica and a node, and
+ * leave it intact.
+ */
+class ControlDiskFaultsIT {
     @TempDir
     private static Path folder;
     private static ControlFleet fleet;
@@ -37,20 +40,20 @@
         replica = fleet.machine("replica");
         fleet.startReplica(replica, publisher);
         node = fleet.startNode("n0", replica);
-        publisher.awaitAnswering();
-        replica.awaitAnswering();
+        publisher.awaitReady();
+        replica.awaitReady();
     }
 
-    /** So that there are two generations on each disk. */
+    /** Publishes twice, so that there are two generations on each disk. */
     @BeforeEach
     void change() throws Exception {
         publisher.publish(next());
         node.awaitInForce(newest());
         publisher.publish(next());
         node.awaitInForce(newest());
-        Await.until("the node keeps it", () -> {
-            List<Path> kept = snapshots(node.state());
-            return kept.size() == 2 && Files.readString(kept.get(1), StandardCharsets.ISO_8859_1).contains("rewrite: " + newest() + "}");
+        Await.until("the node has stored it", () -> {
+            List<Path> files = snapshots(node.state());
+            return files.size() == 2 && Files.readString(files.get(1), StandardCharsets.ISO_8859_1).contains("rewrite: " + newest() + "}");
         }, node.process()::log);
     }
 
@@ -59,19 +62,19 @@
         fleet.close();
     }
 
-    private static Changes next() {
-        return Changes.of(Changes.ROUTES, Changes.routesTo("/v" + ++changes));
+    private static ChangeBody next() {
+        return ChangeBody.of(ChangeBody.ROUTES, ChangeBody.routesTo("/v" + ++changes));
     }
 
     private static String newest() {
         return "/v" + changes;
     }
 
-    /** The files of a state, the one that was written last at the end. */
+    /** Returns the snapshot files of a state, the newest last. */
     private static List<Path> snapshots(Path state) throws IOException {
         try (Stream<Path> files = Files.list(state)) {
             return files.filter(file -> file.toString().matches(".*/configuration[^/]*\\.[01]"))
-                .sorted(Comparator.comparing(ControlDisksIT::written)).toList();
+                .sorted(Comparator.comparing(ControlDiskFaultsIT::written)).toList();
         }
     }
 
@@ -88,8 +91,8 @@
         return Path.of(file.substring(0, file.lastIndexOf('.')) + ".tmp");
     }
 
-    /** As a crash of the machine may leave it: the newest file has lost its end. */
-    private static void tearNewest(Path state) throws IOException {
+    /** Truncates the newest file, as a crash of the machine may do. */
+    private static void truncateNewest(Path state) throws IOException {
         List<Path> files = snapshots(state);
         Path newest = files.get(files.size() - 1);
         try (FileChannel file = FileChannel.open(newest, StandardOpenOption.WRITE)) {
@@ -98,67 +101,68 @@
     }
 
     @Test
-    void aPublisherWhoseDiskIsFullRefusesAndGoesOnOnceThereIsRoom() throws Exception {
+    void aPublisherWithAFullDiskRefusesChangesUntilThereIsSpace() throws Exception {
         ConfigurationVersion before = publisher.status().version();
-        String force = newest();
+        String inForce = newest();
         Files.createSymbolicLink(temporaryOf(publisher.state()), Path.of("/dev/full"));
         assertEquals(507, publisher.post(next(), 0).status());
         assertEquals(before, publisher.status().version());
-        assertEquals(before, publisher.told(ConfigurationVersion.NONE).version());
-        assertEquals(force, node.inForce());
+        assertEquals(before, publisher.fetchUpdate(ConfigurationVersion.NONE).version());
+        assertEquals(inForce, node.inForce());
         Files.deleteIfExists(temporaryOf(publisher.state()));
         publisher.publish(next());
         node.awaitInForce(newest());
     }
 
     @Test
-    void aReplicaWhoseDiskRefusesTellsWhatItHasAndItsAge() throws Exception {
+    void aReplicaThatCannotWriteServesItsLastVersionAndReportsStaleness() throws Exception {
         ConfigurationVersion before = replica.status().version();
-        String force = newest();
+        String inForce = newest();
         Path temporary = temporaryOf(replica.state());
         Files.createDirectories(temporary.resolve("in-the-way"));
         publisher.publish(next());
-        Await.until("its age grows", () -> replica.status().staleMs() > 3_000, replica.process()::log);
-        assertEquals(before, replica.told(ConfigurationVersion.NONE).version());
-        assertEquals(force, node.inForce());
+        Await.until("its staleness grows", () -> replica.status().staleMs() > 3_000, replica.process()::log);
+        assertEquals(before, replica.fetchUpdate(ConfigurationVersion.NONE).version());
+        assertEquals(inForce, node.inForce());
         Files.delete(temporary.resolve("in-the-way"));
         Files.deleteIfExists(temporary);
         node.awaitInForce(newest());
-        Await.until("it is fresh again", () -> replica.status().staleMs() < 3_000, replica.process()::log);
+        Await.until("it is up to date again", () -> replica.status().staleMs() < 3_000, replica.process()::log);
     }
 
     @Test
-    void aReplicaWhoseDiskIsTornTellsNothingUntilItHasFollowed() throws Exception {
+    void aReplicaWithACorruptDiskServesNothingUntilSynchronised() throws Exception {
         ConfigurationVersion before = replica.status().version();
         replica.process().kill();
-        tearNewest(replica.state());
+        truncateNewest(replica.state());
         fleet.link(replica, publisher).cut();
-        replica.startAgain().awaitAnswering();
+        replica.restart().awaitReady();
         assertEquals(503, replica.get("/v1/configuration?node=probe&service=booking&epoch=0&after=0&wait_ms=0").status());
         assertEquals(newest(), node.inForce());
-        fleet.heal();
-        Await.until("it has followed", () -> replica.told(ConfigurationVersion.NONE).version().equals(before), replica.process()::log);
+        fleet.restoreLinks();
+        Await.until("it has synchronised", () -> replica.fetchUpdate(ConfigurationVersion.NONE).version().equals(before),
+            replica.process()::log);
         publisher.publish(next());
         node.awaitInForce(newest());
     }
 
     @Test
-    void aPublisherWhoseDiskIsTornDoesNotStart() throws Exception {
+    void aPublisherWithACorruptDiskDoesNotStart() throws Exception {
         publisher.process().kill();
-        tearNewest(publisher.state());
-        publisher.startAgain();
+        truncateNewest(publisher.state());
+        publisher.restart();
         assertEquals(78, publisher.process().exitCode());
         assertTrue(publisher.process().log().contains("--take-over-from"), publisher.process().log());
-        // As it says: a higher epoch, from what the replica has.
-        publisher.startTakeOver(2, ServeProcess.text(replica.address())).awaitAnswering();
+        // Follows the advice of the message: a higher epoch, taken over from the replica.
+        publisher.startTakeOver(2, ServeProcess.text(replica.address())).awaitReady();
         publisher.publish(next());
         node.awaitInForce(newest());
     }
 
     @Test
-    void aNodeWhoseKeptStateIsTornStartsAndIsTold() throws Exception {
+    void aNodeWithACorruptCacheStartsAndIsUpdated() throws Exception {
         node.process().kill();
-        tearNewest(node.state());
+        truncateNewest(node.state());
         node.start();
         node.awaitInForce(newest());
         publisher.publish(next());
@@ -166,17 +170,17 @@
     }
 
     @Test
-    void aNodeThatFindsNobodyStartsWithWhatItKept() throws Exception {
-        String kept = newest();
+    void aNodeWithoutControlProcessesStartsFromItsCache() throws Exception {
+        String stored = newest();
         publisher.process().kill();
         replica.process().kill();
         node.process().kill();
         node.start();
-        node.awaitInForce(kept);
-        Await.until("its log says how old it is", () -> node.process().log().matches("(?s).* as kept [0-9]+ s ago.*"),
-            node.process()::log);
-        publisher.startAgain().awaitAnswering();
-        replica.startAgain().awaitAnswering();
+        node.awaitInForce(stored);
+        Await.until("its log states the age of the stored configuration",
+            () -> node.process().log().matches("(?s).* as kept [0-9]+ s ago.*"), node.process()::log);
+        publisher.restart().awaitReady();
+        replica.restart().awaitReady();
         publisher.publish(next());
         node.awaitInForce(newest());
     }
--- a/src/test/java/onyxpaddle/control/ControlFleet.java
+++ b/src/test/java/onyxpaddle/control/ControlFleet.java
@@ -10,10 +10,9 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 
-/** Control processes and nodes of the program as built, with a link for each that calls another. All end with it, by their ids. */
+/** Control processes and nodes as processes of the packaged program, with a link between each pair that communicates. */
 final class ControlFleet implements AutoCloseable {
-    /** Who calls, and what it calls. */
-    private record Way(ControlMachine from, ControlMachine to) {
+    private record Route(ControlMachine client, ControlMachine server) {
     }
 
     private final Path folder;
@@ -21,51 +20,51 @@
     private final EchoServer backend = new EchoServer();
     private final List<ControlMachine> controls = new ArrayList<>();
     private final List<ConfiguredNode> nodes = new ArrayList<>();
-    private final List<CuttableLink> further = new ArrayList<>();
-    private final Map<Way, CuttableLink> between = new LinkedHashMap<>();
+    private final List<PartitionableLink> extraLinks = new ArrayList<>();
+    private final Map<Route, PartitionableLink> replicaLinks = new LinkedHashMap<>();
 
     ControlFleet(Path folder) throws IOException {
         this.folder = folder;
     }
 
-    /** A control machine; nothing runs there yet. */
+    /** Adds a control machine on which nothing runs yet. */
     ControlMachine machine(String name) throws IOException {
         ControlMachine control = new ControlMachine(name, folder.resolve(name));
         controls.add(control);
         return control;
     }
 
-    /** Starts a replica that follows these, each over a link that later starts use too. */
+    /** Starts a replica that follows these, each over a link that is reused by later starts. */
     ControlMachine startReplica(ControlMachine replica, ControlMachine... follows) throws Exception {
         List<String> addresses = new ArrayList<>();
         for (ControlMachine followed : follows) {
-            Way way = new Way(replica, followed);
-            if (!between.containsKey(way)) {
-                between.put(way, new CuttableLink(loops.next(), replica.name(), followed.address()));
+            Route route = new Route(replica, followed);
+            if (!replicaLinks.containsKey(route)) {
+                replicaLinks.put(route, new PartitionableLink(loops.next(), replica.name(), followed.address()));
             }
-            addresses.add(between.get(way).address());
+            addresses.add(replicaLinks.get(route).address());
         }
         return replica.startReplica(addresses);
     }
 
-    /** A further way to a control process, for one that does not follow it. */
-    CuttableLink linkTo(ControlMachine to) throws InterruptedException {
-        CuttableLink link = new CuttableLink(loops.next(), "other", to.address());
-        further.add(link);
+    /** Adds a link to a control process, for a client that does not follow it. */
+    PartitionableLink extraLink(ControlMachine server) throws InterruptedException {
+        PartitionableLink link = new PartitionableLink(loops.next(), "other", server.address());
+        extraLinks.add(link);
         return link;
     }
 
-    /** The link by which a replica follows another control process. */
-    CuttableLink link(ControlMachine from, ControlMachine to) {
-        return between.get(new Way(from, to));
+    /** Returns the link over which a replica follows another control process. */
+    PartitionableLink link(ControlMachine client, ControlMachine server) {
+        return replicaLinks.get(new Route(client, server));
     }
 
-    /** Starts a node that these tell, each over a link of its own. */
-    ConfiguredNode startNode(String name, ControlMachine... told) throws Exception {
+    /** Starts a node that uses these control processes, each over a link of its own. */
+    ConfiguredNode startNode(String name, ControlMachine... controlMachines) throws Exception {
         ConfiguredNode node = new ConfiguredNode(name, folder.resolve(name), backend);
         nodes.add(node);
-        for (ControlMachine control : told) {
-            node.addLink(control, new CuttableLink(loops.next(), name, control.address()));
+        for (ControlMachine control : controlMachines) {
+            node.addLink(control, new PartitionableLink(loops.next(), name, control.address()));
         }
         return node.start();
     }
@@ -74,7 +73,7 @@
         return List.copyOf(nodes);
     }
 
-    /** Waits until all nodes have the routes to that path in force; returns after how many milliseconds the last one had them. */
+    /** Waits until all nodes have the routes to that path in force; returns how many milliseconds that took. */
     long awaitInForce(String path) throws InterruptedException {
         long begin = System.nanoTime();
         for (ConfiguredNode node : nodes) {
@@ -83,10 +82,10 @@
         return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - begin);
     }
 
-    /** Delivers all that is held between any two. */
-    void heal() {
-        between.values().forEach(CuttableLink::heal);
-        nodes.forEach(node -> node.links().forEach(CuttableLink::heal));
+    /** Restores all links of replicas and nodes, and delivers what they held. */
+    void restoreLinks() {
+        replicaLinks.values().forEach(PartitionableLink::restore);
+        nodes.forEach(node -> node.links().forEach(PartitionableLink::restore));
     }
 
     @Override
@@ -101,8 +100,8 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } finally {
-            between.values().forEach(CuttableLink::close);
-            further.forEach(CuttableLink::close);
+            replicaLinks.values().forEach(PartitionableLink::close);
+            extraLinks.forEach(PartitionableLink::close);
             backend.close();
             loops.shutdownGracefully(0, 1, TimeUnit.SECONDS);
         }
--- a/src/test/java/onyxpaddle/control/ControlRig.java
+++ b/src/test/java/onyxpaddle/control/ControlHarness.java
@@ -26,20 +26,20 @@
 import onyxpaddle.distribution.Update;
 import onyxpaddle.distribution.UpdateJson;
 
-/** Control processes in this JVM, on ports that the system chooses, and calls to them. */
-final class ControlRig implements AutoCloseable {
+/** Runs control processes in this JVM on ephemeral ports, and sends requests to them. */
+final class ControlHarness implements AutoCloseable {
     static final EntryKey CLASS = EntryKey.parse("service/booking/classes.look-up");
     static final EntryKey OTHER = EntryKey.parse("service/reminders/classes.look-up");
-    private static final HostPort ANY = new HostPort("127.0.0.1", 0);
-    /** For what comes at once; only a failure takes so long. */
-    private static final Duration END = Duration.ofSeconds(30);
+    private static final HostPort ANY_PORT = new HostPort("127.0.0.1", 0);
+    /** Generous, as only a failure takes so long. */
+    private static final Duration TIMEOUT = Duration.ofSeconds(30);
 
     private final Path folder;
     private final HttpClient client = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
-    private final ControlClient blocking = new ControlClient();
+    private final ControlClient controlClient = new ControlClient();
     private final List<ControlProcess> processes = new ArrayList<>();
 
-    ControlRig(Path folder) {
+    ControlHarness(Path folder) {
         this.folder = folder;
     }
 
@@ -48,11 +48,12 @@
     }
 
     ControlProcess publisher(String id, long epoch, HostPort... takeOverFrom) throws Exception {
-        return start(new ControlSettings(ANY, id, state(id), epoch, List.of(takeOverFrom), List.of(), ControlSettings.DEFAULT_FULL_UPDATE_RATE));
+        return start(new ControlSettings(ANY_PORT, id, state(id), epoch, List.of(takeOverFrom), List.of(),
+            ControlSettings.DEFAULT_FULL_UPDATE_RATE));
     }
 
     ControlProcess replica(String id, HostPort... follow) throws Exception {
-        return start(new ControlSettings(ANY, id, state(id), 0, List.of(), List.of(follow), ControlSettings.DEFAULT_FULL_UPDATE_RATE));
+        return start(new ControlSettings(ANY_PORT, id, state(id), 0, List.of(), List.of(follow), ControlSettings.DEFAULT_FULL_UPDATE_RATE));
     }
 
     ControlProcess start(ControlSettings settings) throws Exception {
@@ -70,7 +71,7 @@
         return new HostPort("127.0.0.1", process.address().getPort());
     }
 
-    /** A class with this deadline, as a sound value. */
+    /** Returns a valid class with this deadline. */
     static String deadline(int millis) {
         return "effect: safe\ndeadline: " + millis + " ms\n";
     }
@@ -80,10 +81,10 @@
     }
 
     Response post(ControlProcess to, String query, byte[] body) throws Exception {
-        return blocking.post(at(to), "/v1/changes" + query, body, END, 1 << 20);
+        return controlClient.post(at(to), "/v1/changes" + query, body, TIMEOUT, 1 << 20);
     }
 
-    /** Publishes without waiting for replicas, and gives the version. */
+    /** Publishes without waiting for replicas, and returns the version. */
     ConfigurationVersion publish(ControlProcess to, Change... changes) throws Exception {
         Response response = post(to, "", changes(null, changes));
         assertEquals(200, response.status(), response.text());
@@ -91,18 +92,18 @@
     }
 
     Response get(ControlProcess from, String uri) throws Exception {
-        return blocking.get(at(from), uri, END, 64 << 20);
+        return controlClient.get(at(from), uri, TIMEOUT, 64 << 20);
     }
 
-    /** What a node of the booking service is told. */
-    Update told(ControlProcess by, ConfigurationVersion after, int waitMs) throws Exception {
+    /** Returns the update that a node of the booking service receives. */
+    Update fetchUpdate(ControlProcess by, ConfigurationVersion after, int waitMs) throws Exception {
         Response response = get(by, uri("n1", "booking", after, waitMs));
         assertEquals(200, response.status(), response.text());
         return UpdateJson.read(response.body());
     }
 
-    /** A node's call that may wait. */
-    CompletableFuture<Update> waiting(ControlProcess at, String node, ConfigurationVersion after) {
+    /** Sends a node's request that may wait 10 s. */
+    CompletableFuture<Update> longPoll(ControlProcess at, String node, ConfigurationVersion after) {
         HttpRequest request = HttpRequest.newBuilder(URI.create("http://" + at(at) + uri(node, "booking", after, 10_000))).build();
         return client.sendAsync(request, HttpResponse.BodyHandlers.ofByteArray()).thenApply(response -> {
             try {
@@ -122,11 +123,11 @@
         return StatusJson.read(get(of, "/v1/status").body());
     }
 
-    /** Asks until the status is as awaited. */
-    Status await(ControlProcess of, Predicate<Status> awaited) throws Exception {
-        long until = System.nanoTime() + END.toNanos();
+    /** Polls the status until the condition holds. */
+    Status await(ControlProcess of, Predicate<Status> condition) throws Exception {
+        long until = System.nanoTime() + TIMEOUT.toNanos();
         Status status = status(of);
-        while (!awaited.test(status)) {
+        while (!condition.test(status)) {
             if (System.nanoTime() - until > 0) {
                 fail("still " + status);
             }
--- a/src/test/java/onyxpaddle/control/ControlMachine.java
+++ b/src/test/java/onyxpaddle/control/ControlMachine.java
@@ -23,23 +23,22 @@
 import onyxpaddle.distribution.UpdateJson;
 import onyxpaddle.drill.ServeProcess;
 
-/** One control machine: an address, a disk, and the process that runs there now. A later start finds the same address and disk. */
+/** A control machine: an address, a disk, and the process that currently runs there. A restart uses the same address and disk. */
 final class ControlMachine {
-    /** What a process answered. */
     record Answer(int status, String body) {
     }
 
     private static final Pattern VERSION = Pattern.compile("\"version\":\"([0-9.]+)\"");
-    private static final Duration LONGEST_CALL = Duration.ofSeconds(30);
-    private final HttpClient client = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).connectTimeout(LONGEST_CALL).build();
+    private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(30);
+    private final HttpClient client = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).connectTimeout(REQUEST_TIMEOUT).build();
     private final String name;
     private final InetSocketAddress address = ServeProcess.freePort();
     private final Path folder;
     private ProgramProcess process;
-    /** The arguments by which it was started last. */
+    /** The role arguments of the last start. */
     private List<String> role = List.of();
 
-    /** {@code folder}: where its log and its state lie. */
+    /** @param folder for its log and its state */
     ControlMachine(String name, Path folder) throws IOException {
         this.name = name;
         this.folder = Files.createDirectories(folder);
@@ -57,23 +56,23 @@
         return folder.resolve("state");
     }
 
-    /** Starts it as publisher of the first epoch. */
+    /** Starts it as the publisher of the first epoch. */
     ControlMachine startPublisher() throws IOException {
         return start(List.of("--publisher", "--epoch", "1"));
     }
 
-    /** Starts it as publisher of that epoch, which goes on from what other processes have; {@code from}: their addresses. */
+    /** Starts it as the publisher of that epoch, which takes over the state of the processes at the addresses {@code from}. */
     ControlMachine startTakeOver(long epoch, String... from) throws IOException {
         return start(List.of("--publisher", "--epoch", Long.toString(epoch), "--take-over-from", String.join(",", from)));
     }
 
-    /** Starts it as a replica; {@code follows}: addresses. */
+    /** Starts it as a replica that follows the processes at these addresses. */
     ControlMachine startReplica(List<String> follows) throws IOException {
         return start(List.of("--follow", String.join(",", follows)));
     }
 
-    /** Starts it as it was started last. */
-    ControlMachine startAgain() throws IOException {
+    /** Starts it in the role of the last start. */
+    ControlMachine restart() throws IOException {
         return start(role);
     }
 
@@ -86,11 +85,11 @@
         return this;
     }
 
-    /** Waits until it answers; fails where it ends instead. */
-    ControlMachine awaitAnswering() throws InterruptedException {
+    /** Waits until it answers; fails if the process exits. */
+    ControlMachine awaitReady() throws InterruptedException {
         Await.until(name + " answers", () -> {
             if (!process.isAlive()) {
-                throw new AssertionError(name + " ended: " + process.log());
+                throw new AssertionError(name + " exited: " + process.log());
             }
             return get("/v1/status").status() == 200;
         }, process::log);
@@ -101,19 +100,19 @@
         return process;
     }
 
-    // ---- calls ----
+    // ---- requests ----
 
     Answer get(String path) throws IOException, InterruptedException {
         return call(request(path).GET().build());
     }
 
-    /** Publishes; the answer comes once it is durable here and {@code acks} replicas have it, or after a second. */
-    Answer post(Changes changes, int acks) throws IOException, InterruptedException {
+    /** Publishes; is answered once the change is durable and {@code acks} replicas hold it, or after a second. */
+    Answer post(ChangeBody changes, int acks) throws IOException, InterruptedException {
         return call(request("/v1/changes?acks=" + acks + "&wait_ms=1000").POST(BodyPublishers.ofString(changes.json())).build());
     }
 
     private HttpRequest.Builder request(String path) {
-        return HttpRequest.newBuilder(URI.create("http://" + ServeProcess.text(address) + path)).timeout(LONGEST_CALL);
+        return HttpRequest.newBuilder(URI.create("http://" + ServeProcess.text(address) + path)).timeout(REQUEST_TIMEOUT);
     }
 
     private Answer call(HttpRequest request) throws IOException, InterruptedException {
@@ -121,16 +120,16 @@
         return new Answer(response.statusCode(), response.body());
     }
 
-    /** Publishes and returns the version; fails for anything but 200. */
-    ConfigurationVersion publish(Changes changes) throws IOException, InterruptedException {
+    /** Publishes and returns the version; fails unless the status is 200. */
+    ConfigurationVersion publish(ChangeBody changes) throws IOException, InterruptedException {
         Answer answer = post(changes, 0);
         if (answer.status() != 200) {
-            throw new AssertionError(name + " answered a sound change: " + answer);
+            throw new AssertionError(name + " answered a valid change with: " + answer);
         }
         return versionOf(answer);
     }
 
-    /** The version that the answer to a change names. */
+    /** Returns the version in the answer to a change. */
     static ConfigurationVersion versionOf(Answer answer) {
         Matcher version = VERSION.matcher(answer.body());
         assertTrue(version.find(), answer.body());
@@ -140,22 +139,22 @@
     Status status() throws IOException, InterruptedException {
         Answer answer = get("/v1/status");
         if (answer.status() != 200) {
-            throw new IOException(name + " has no status: " + answer);
+            throw new IOException(name + " did not return its status: " + answer);
         }
         return StatusJson.read(answer.body().getBytes(StandardCharsets.UTF_8));
     }
 
-    /** What it tells somebody at that version who is neither a node nor a replica; it is listed as a node of that name. */
-    Update told(ConfigurationVersion after) throws Exception {
-        Answer answer = get("/v1/configuration?node=probe&service=" + Changes.SERVICE + "&epoch=" + after.epoch() + "&after="
+    /** Returns the update it sends for that version; the request is listed as one of a node named `probe`. */
+    Update fetchUpdate(ConfigurationVersion after) throws Exception {
+        Answer answer = get("/v1/configuration?node=probe&service=" + ChangeBody.SERVICE + "&epoch=" + after.epoch() + "&after="
             + after.number() + "&wait_ms=0");
         if (answer.status() != 200) {
-            throw new IOException(name + " tells nothing: " + answer);
+            throw new IOException(name + " did not return an update: " + answer);
         }
         return UpdateJson.read(answer.body().getBytes(StandardCharsets.UTF_8));
     }
 
-    /** Ends what runs there, if anything does. */
+    /** Kills the process, if there is one. */
     void end() throws InterruptedException {
         if (process != null) {
             process.kill();
--- a/src/test/java/onyxpaddle/control/EchoServer.java
+++ b/src/test/java/onyxpaddle/control/EchoServer.java
@@ -13,9 +13,9 @@
 import java.util.concurrent.Executors;
 
 /**
- * What nodes send requests on to: answers each with the path it was asked for, so that an answer tells which route is in force. It takes
- * requests without a body, keeps connections, and writes an answer's head and body at once: the JDK's server writes them apart, and a body
- * may then wait 40 ms for the acknowledgement of its head.
+ * The nodes' backend: answers each request with its path, so that the answer tells which route is in force. Supports requests without a
+ * body and keep-alive. Writes head and body at once: the JDK's server writes them separately, and the body may then wait 40 ms for the
+ * acknowledgement of the head.
  */
 final class EchoServer implements AutoCloseable {
     private final ServerSocket listener = new ServerSocket(0, 0, InetAddress.getByName("127.0.0.1"));
@@ -34,7 +34,7 @@
                 threads.execute(() -> serve(socket));
             }
         } catch (IOException e) {
-            // The listener is closed: the test is over.
+            // The listener has been closed at the end of the test.
         }
     }
 
@@ -47,20 +47,20 @@
                 socket.getOutputStream().write(answer.getBytes(StandardCharsets.US_ASCII));
             }
         } catch (IOException e) {
-            // The node has let go of the connection.
+            // The node has closed the connection.
         } finally {
             open.remove(socket);
         }
     }
 
-    /** The path of the next request, once its head has been read; null at the connection's end. */
+    /** Reads the head of the next request and returns its path; null at the end of the connection. */
     private static String nextPath(BufferedReader in) throws IOException {
         String requestLine = in.readLine();
         if (requestLine == null) {
             return null;
         }
         for (String header = in.readLine(); header != null && !header.isEmpty(); header = in.readLine()) {
-            // Nothing in the head but the path matters.
+            // Headers are ignored.
         }
         return requestLine.split(" ")[1];
     }
--- a/src/test/java/onyxpaddle/control/FleetStatusTest.java
+++ b/src/test/java/onyxpaddle/control/FleetStatusTest.java
@@ -24,7 +24,7 @@
     }
 
     @Test
-    void theNewestReportOfEachNodeCounts() {
+    void theMostRecentReportOfEachNodeIsUsed() {
         NodeReport before = node("n1", OLD, ConfigurationVersion.NONE, 900);
         NodeReport now = node("n1", NEW, ConfigurationVersion.NONE, 100);
         assertEquals(List.of(now), List.copyOf(new FleetStatus(List.of(process(before), process(now)), List.of()).nodes()));
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void silentNodesAreNamedAndNotWaitedFor() {
+    void silentNodesAreListedButNotWaitedFor() {
         FleetStatus fleet = new FleetStatus(List.of(process(node("n1", NEW, ConfigurationVersion.NONE, 0),
             node("n2", OLD, ConfigurationVersion.NONE, FleetStatus.SILENT_MS + 1))), List.of());
         assertTrue(fleet.inForce(NEW));
@@ -41,14 +41,14 @@
     }
 
     @Test
-    void whoRefusedAndRunsByAnEarlierOneIsNamed() {
+    void nodesThatRefusedTheVersionAreListed() {
         FleetStatus fleet = new FleetStatus(List.of(process(node("n1", OLD, NEW, 0), node("n2", NEW, OLD, 0))), List.of());
         assertEquals(List.of("n1"), fleet.refused(NEW).stream().map(NodeReport::node).toList());
         assertFalse(fleet.inForce(NEW));
     }
 
     @Test
-    void aStatusIsReadAsItWasWrittenAndNoPartOfOneIs() throws IOException {
+    void aStatusSurvivesARoundTripAndTruncationIsDetected() throws IOException {
         Status status = process(node("n1", OLD, NEW, 3));
         byte[] bytes = StatusJson.write(status);
         assertEquals(status, StatusJson.read(bytes));
--- a/src/test/java/onyxpaddle/control/WakeTest.java
+++ b/src/test/java/onyxpaddle/control/LongPollWakeupTest.java
@@ -21,8 +21,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** As many nodes as a large fleet has, all of which wait; on one clock that is moved by hand. */
-class WakeTest {
+/** Long polls of as many nodes as a large fleet has, on a manually advanced clock. */
+class LongPollWakeupTest {
     private static final int NODES = 4_200;
 
     @TempDir
@@ -32,7 +32,7 @@
     private final DiskThread disk = new DiskThread();
     private final ConfigurationTable first = ConfigurationTable.initial(1);
     private final ServedConfiguration served = new ServedConfiguration(0, 0, first, true, ControlSettings.DEFAULT_FULL_UPDATE_RATE);
-    private ControlCalls calls;
+    private ControlRequestHandler handler;
     private final List<EmbeddedChannel> nodes = new ArrayList<>();
 
     @AfterEach
@@ -42,22 +42,23 @@
         disk.close();
     }
 
-    private void allWait() {
+    private void startLongPolls() {
         clock.freezeTime();
-        HostPort none = new HostPort("127.0.0.1", 0);
-        ControlSettings settings = new ControlSettings(none, "r1", folder, 0, List.of(), List.of(none), ControlSettings.DEFAULT_FULL_UPDATE_RATE);
-        calls = new ControlCalls(settings, loop, disk, new StateStore(folder), served, () -> 0);
+        HostPort address = new HostPort("127.0.0.1", 0);
+        ControlSettings settings = new ControlSettings(address, "r1", folder, 0, List.of(), List.of(address),
+            ControlSettings.DEFAULT_FULL_UPDATE_RATE);
+        handler = new ControlRequestHandler(settings, loop, disk, new StateStore(folder), served, () -> 0);
         for (int i = 0; i < NODES; i++) {
-            EmbeddedChannel node = new EmbeddedChannel(new HttpServerCodec(), new ControlConnection(calls));
+            EmbeddedChannel node = new EmbeddedChannel(new HttpServerCodec(), new ControlConnection(handler));
             nodes.add(node);
             String service = i % 2 == 0 ? "booking" : "reminders";
-            String call = "GET " + ControlRig.uri("n" + i, service, first.version(), 10_000) + " HTTP/1.1\r\n\r\n";
-            node.writeInbound(Unpooled.copiedBuffer(call, StandardCharsets.US_ASCII));
+            String request = "GET " + ControlHarness.uri("n" + i, service, first.version(), 10_000) + " HTTP/1.1\r\n\r\n";
+            node.writeInbound(Unpooled.copiedBuffer(request, StandardCharsets.US_ASCII));
         }
-        assertEquals(0, answered("").size());
+        assertEquals(0, takeAnswers("").size());
     }
 
-    private List<String> answered(String part) {
+    private List<String> takeAnswers(String part) {
         List<String> answers = new ArrayList<>();
         for (EmbeddedChannel node : nodes) {
             StringBuilder text = new StringBuilder();
@@ -74,37 +75,37 @@
     }
 
     @Test
-    void aChangeAnswersAllThatItConcernsInOnePassAndNoOther() {
-        allWait();
-        served.durable(first.withChanges(1, List.of(new Change(ControlRig.CLASS, ControlRig.deadline(100)))));
-        calls.news();
-        assertEquals(NODES / 2, answered("\"version\":\"1.1\","
+    void aChangeAnswersExactlyTheRequestsThatItAffects() {
+        startLongPolls();
+        served.install(first.withChanges(1, List.of(new Change(ControlHarness.CLASS, ControlHarness.deadline(100)))));
+        handler.onUpdate();
+        assertEquals(NODES / 2, takeAnswers("\"version\":\"1.1\","
             + "\"whole\":false,\"more\":false,\"stale_ms\":-1,\"entries\":[{\"key\":\"service/booking").size());
-        served.durable(served.table().withChanges(1, List.of(new Change(ControlRig.OTHER, ControlRig.deadline(100)))));
-        calls.news();
-        assertEquals(NODES / 2, answered("\"version\":\"1.2\"").size());
+        served.install(served.table().withChanges(1, List.of(new Change(ControlHarness.OTHER, ControlHarness.deadline(100)))));
+        handler.onUpdate();
+        assertEquals(NODES / 2, takeAnswers("\"version\":\"1.2\"").size());
     }
 
     @Test
-    void atTheEndOfTheirWaitAllAreToldTheVersion() {
-        allWait();
-        served.durable(first.withChanges(1, List.of()));
-        calls.news();
+    void allRequestsAreAnsweredWithTheVersionAtTheirTimeout() {
+        startLongPolls();
+        served.install(first.withChanges(1, List.of()));
+        handler.onUpdate();
         clock.advanceTimeBy(9_999, TimeUnit.MILLISECONDS);
         clock.runScheduledPendingTasks();
-        assertEquals(0, answered("").size());
+        assertEquals(0, takeAnswers("").size());
         clock.advanceTimeBy(2, TimeUnit.MILLISECONDS);
         clock.runScheduledPendingTasks();
-        assertEquals(NODES, answered("\"version\":\"1.1\"").size());
+        assertEquals(NODES, takeAnswers("\"version\":\"1.1\"").size());
     }
 
     @Test
-    void whoIsGoneIsForgotten() {
-        allWait();
+    void closedConnectionsAreRemoved() {
+        startLongPolls();
         nodes.forEach(EmbeddedChannel::close);
-        served.durable(first.withChanges(1, List.of(new Change(ControlRig.CLASS, ControlRig.deadline(100)))));
-        calls.news();
-        assertEquals(0, answered("").size());
+        served.install(first.withChanges(1, List.of(new Change(ControlHarness.CLASS, ControlHarness.deadline(100)))));
+        handler.onUpdate();
+        assertEquals(0, takeAnswers("").size());
         assertEquals(new ConfigurationVersion(1, 1), served.version());
     }
 }
--- a/src/test/java/onyxpaddle/control/CuttableLink.java
+++ b/src/test/java/onyxpaddle/control/PartitionableLink.java
@@ -8,11 +8,11 @@
 import onyxpaddle.drill.Relay;
 
 /**
- * The way from one client to one control process, on a port of its own. It counts what passes, and can be cut in each direction:
- * what is held is delivered, all of it and late, once the link is healed.
+ * A proxy between one client and one control process, on a port of its own. It counts bytes, and can be partitioned in each direction:
+ * held data is delivered once the link is restored.
  */
-final class CuttableLink implements AutoCloseable {
-    /** What the relay asks before it passes anything on. */
+final class PartitionableLink implements AutoCloseable {
+    /** Consulted by the relay before it forwards anything. */
     private static final class Gate extends Link {
         private final AtomicLong bytes = new AtomicLong();
         private volatile long lastNanos = Long.MIN_VALUE;
@@ -41,45 +41,45 @@
     private final Gate gate = new Gate();
     private final Relay relay;
 
-    CuttableLink(EventLoop loop, String client, InetSocketAddress control) throws InterruptedException {
+    PartitionableLink(EventLoop loop, String client, InetSocketAddress control) throws InterruptedException {
         relay = new Relay(loop, gate, client, () -> control, new ConcurrentHashMap<>());
     }
 
-    /** What the client is told to call. */
+    /** Returns the address that the client connects to. */
     String address() {
         return relay.address();
     }
 
-    /** From now on nothing passes, in either direction; connections stay open and new ones are taken. */
+    /** Holds data in both directions; connections stay open and new ones are accepted. */
     void cut() {
         gate.holdsRequests = true;
         gate.holdsAnswers = true;
     }
 
-    /** From now on requests arrive and answers don't. */
+    /** Holds answers; requests still arrive. */
     void holdAnswers() {
         gate.holdsAnswers = true;
     }
 
-    /** From now on connections are refused; those that are open are reset, so that nothing of them comes late. */
+    /** Refuses new connections and resets the open ones, so that none of their data is delivered late. */
     void refuse() {
         gate.refuses = true;
         relay.reset();
     }
 
-    /** Delivers what was held, and passes everything on again. */
-    void heal() {
+    /** Delivers held data and forwards everything again. */
+    void restore() {
         gate.refuses = false;
         gate.holdsRequests = false;
         gate.holdsAnswers = false;
     }
 
-    /** Bytes of both directions so far, heads of requests and answers among them. */
+    /** Returns the bytes forwarded in both directions so far, including HTTP heads. */
     long bytes() {
         return gate.bytes.get();
     }
 
-    /** When something last came by, on the clock of {@link System#nanoTime}; {@code Long.MIN_VALUE} for never. */
+    /** Returns the {@link System#nanoTime} at which data last passed; {@code Long.MIN_VALUE} for never. */
     long lastNanos() {
         return gate.lastNanos;
     }
--- a/src/test/java/onyxpaddle/control/ProgramProcess.java
+++ b/src/test/java/onyxpaddle/control/ProgramProcess.java
@@ -9,11 +9,11 @@
 import java.util.concurrent.TimeUnit;
 import onyxpaddle.drill.ServeProcess;
 
-/** A process of the program as built, started by its command line; its log goes to a file that a later start goes on with. */
+/** A process of the packaged program, started by its command line. Its log is appended to a file, also across restarts. */
 final class ProgramProcess {
     private static final List<String> OPTIONS = List.of("-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xms24m", "-Xmx64m", "-Xss512k",
         "-XX:-UsePerfData");
-    private static final long LONGEST_RUN_S = 60;
+    private static final long EXIT_TIMEOUT_S = 60;
 
     private final Process process;
     private final Path log;
@@ -25,7 +25,6 @@
         this.logBegin = logBegin;
     }
 
-    /** Starts one with these arguments. */
     static ProgramProcess start(Path log, List<String> arguments) throws IOException {
         long begin = Files.exists(log) ? Files.size(log) : 0;
         ProcessBuilder builder = new ProcessBuilder(command(arguments)).redirectErrorStream(true)
@@ -33,7 +32,7 @@
         builder.environment().keySet().removeIf(name -> name.startsWith("GW_"));
         builder.environment().put("TMPDIR", log.getParent().toString());
         Process process = builder.start();
-        // Also where the tests are ended from outside; does nothing for one that has ended.
+        // Kills the process if the test JVM is terminated; has no effect if it has exited.
         Runtime.getRuntime().addShutdownHook(new Thread(process::destroyForcibly));
         return new ProgramProcess(process, log, begin);
     }
@@ -50,11 +49,11 @@
         return command;
     }
 
-    /** Waits for its end; a process that doesn't end within a minute is killed. */
+    /** Waits for its exit; fails and kills it after a minute. */
     int exitCode() throws InterruptedException {
-        if (!process.waitFor(LONGEST_RUN_S, TimeUnit.SECONDS)) {
+        if (!process.waitFor(EXIT_TIMEOUT_S, TimeUnit.SECONDS)) {
             kill();
-            throw new AssertionError("a process did not end within " + LONGEST_RUN_S + " s: " + log());
+            throw new AssertionError("the process did not exit within " + EXIT_TIMEOUT_S + " s: " + log());
         }
         return process.exitValue();
     }
@@ -63,7 +62,7 @@
         return process.isAlive();
     }
 
-    /** What it has written since its start, both streams together. */
+    /** Returns what it has written to standard output and error since its start. */
     String log() {
         try {
             byte[] all = Files.readAllBytes(log);
@@ -73,12 +72,12 @@
         }
     }
 
-    /** Sends it a signal by its name, such as STOP or CONT. */
+    /** Sends a signal, such as STOP or CONT. */
     void signal(String name) throws IOException, InterruptedException {
         new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start().waitFor();
     }
 
-    /** Ends it at once, also where it is stopped, and waits for that. */
+    /** Kills it, even if it is suspended, and waits for its exit. */
     void kill() throws InterruptedException {
         process.destroyForcibly().waitFor();
     }
--- a/src/test/java/onyxpaddle/control/ReplicaTest.java
+++ b/src/test/java/onyxpaddle/control/ReplicaTest.java
@@ -1,11 +1,11 @@
 package onyxpaddle.control;
 
-import static onyxpaddle.control.ControlRig.CLASS;
-import static onyxpaddle.control.ControlRig.at;
-import static onyxpaddle.control.ControlRig.bytes;
-import static onyxpaddle.control.ControlRig.changes;
-import static onyxpaddle.control.ControlRig.deadline;
-import static onyxpaddle.control.ControlRig.uri;
+import static onyxpaddle.control.ControlHarness.CLASS;
+import static onyxpaddle.control.ControlHarness.at;
+import static onyxpaddle.control.ControlHarness.bytes;
+import static onyxpaddle.control.ControlHarness.changes;
+import static onyxpaddle.control.ControlHarness.deadline;
+import static onyxpaddle.control.ControlHarness.uri;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -27,135 +27,137 @@
 import org.junit.jupiter.api.io.TempDir;
 
 class ReplicaTest {
-    private static final int GENEROUS_SECONDS = 30;
+    private static final int TIMEOUT_SECONDS = 30;
 
     @TempDir
     private Path folder;
-    private ControlRig rig;
+    private ControlHarness harness;
     private ControlProcess publisher;
 
     @BeforeEach
     void start() throws Exception {
-        rig = new ControlRig(folder);
-        publisher = rig.publisher("p", 1);
+        harness = new ControlHarness(folder);
+        publisher = harness.publisher("p", 1);
     }
 
     @AfterEach
     void end() {
-        rig.close();
+        harness.close();
     }
 
     @Test
-    void aChangeReachesANodeOverAReplicaAndIsConfirmed() throws Exception {
-        ControlProcess replica = rig.replica("r1", at(publisher));
-        ControlProcess further = rig.replica("r2", at(replica));
-        ConfigurationVersion begun = new ConfigurationVersion(1, 0);
-        rig.await(further, status -> status.version().equals(begun));
-        CompletableFuture<Update> call = rig.waiting(further, "n1", begun);
-        rig.await(further, status -> status.waiting() == 1);
-        Response response = rig.post(publisher, "?acks=1&wait_ms=30000", changes(null, new Change(CLASS, deadline(100))));
+    void aChangeReachesANodeThroughReplicasAndIsConfirmed() throws Exception {
+        ControlProcess replica = harness.replica("r1", at(publisher));
+        ControlProcess second = harness.replica("r2", at(replica));
+        ConfigurationVersion initial = new ConfigurationVersion(1, 0);
+        harness.await(second, status -> status.version().equals(initial));
+        CompletableFuture<Update> call = harness.longPoll(second, "n1", initial);
+        harness.await(second, status -> status.waiting() == 1);
+        Response response = harness.post(publisher, "?acks=1&wait_ms=30000", changes(null, new Change(CLASS, deadline(100))));
         assertEquals(200, response.status(), response.text());
         assertEquals(1, PublishAnswer.read(response.body()).replicas());
-        assertEquals(List.of(deadline(100)), ControlRig.values(call.get(GENEROUS_SECONDS, TimeUnit.SECONDS)).toList());
-        Response notHere = rig.post(replica, "", changes(null, new Change(CLASS, null)));
-        assertEquals(421, notHere.status());
+        assertEquals(List.of(deadline(100)), ControlHarness.values(call.get(TIMEOUT_SECONDS, TimeUnit.SECONDS)).toList());
+        Response misdirected = harness.post(replica, "", changes(null, new Change(CLASS, null)));
+        assertEquals(421, misdirected.status());
     }
 
     @Test
-    void aReplicaTellsNoLessAfterARestartWithAllOthersGone() throws Exception {
-        ControlProcess replica = rig.replica("r1", at(publisher));
-        rig.publish(publisher, new Change(CLASS, deadline(100)));
-        ConfigurationVersion last = rig.publish(publisher, new Change(CLASS, deadline(200)));
-        rig.await(replica, status -> status.version().equals(last));
-        rig.stop(publisher);
-        rig.stop(replica);
-        ControlProcess again = rig.replica("r1", at(publisher));
-        Update update = rig.told(again, ConfigurationVersion.NONE, 0);
+    void aReplicaServesTheSameAfterARestartWithoutAPublisher() throws Exception {
+        ControlProcess replica = harness.replica("r1", at(publisher));
+        harness.publish(publisher, new Change(CLASS, deadline(100)));
+        ConfigurationVersion last = harness.publish(publisher, new Change(CLASS, deadline(200)));
+        harness.await(replica, status -> status.version().equals(last));
+        harness.stop(publisher);
+        harness.stop(replica);
+        ControlProcess restarted = harness.replica("r1", at(publisher));
+        Update update = harness.fetchUpdate(restarted, ConfigurationVersion.NONE, 0);
         assertEquals(List.of(new Entry(CLASS, deadline(200), last)), update.entries());
         assertEquals(last, update.version());
         assertEquals(Update.NO_PUBLISHER_CONTACT, update.staleMs());
-        assertEquals(List.of(), rig.told(again, new ConfigurationVersion(1, 2), 0).entries());
+        assertEquals(List.of(), harness.fetchUpdate(restarted, new ConfigurationVersion(1, 2), 0).entries());
     }
 
     @Test
-    void aReplicaWithATornDiskTellsNothingUntilItHasFollowed() throws Exception {
-        ControlProcess replica = rig.replica("r1", at(publisher));
-        ConfigurationVersion last = rig.publish(publisher, new Change(CLASS, deadline(100)));
-        rig.await(replica, status -> status.version().equals(last));
-        rig.stop(replica);
-        Files.write(rig.state("r1").resolve("configuration.0"), bytes("noise"));
-        Files.write(rig.state("r1").resolve("configuration.1"), bytes("noise"));
-        rig.stop(publisher);
-        ControlProcess torn = rig.replica("r1", at(publisher));
-        assertEquals(503, rig.get(torn, uri("n1", "booking", ConfigurationVersion.NONE, 0)).status());
-        rig.start(new ControlSettings(at(publisher), "p", rig.state("p"), 1, List.of(), List.of(), ControlSettings.DEFAULT_FULL_UPDATE_RATE));
-        rig.await(torn, status -> status.version().equals(last));
-        assertEquals(List.of(deadline(100)), ControlRig.values(rig.told(torn, ConfigurationVersion.NONE, 0)).toList());
+    void aReplicaWithACorruptDiskServesNothingUntilItHasSynchronised() throws Exception {
+        ControlProcess replica = harness.replica("r1", at(publisher));
+        ConfigurationVersion last = harness.publish(publisher, new Change(CLASS, deadline(100)));
+        harness.await(replica, status -> status.version().equals(last));
+        harness.stop(replica);
+        Files.write(harness.state("r1").resolve("configuration.0"), bytes("noise"));
+        Files.write(harness.state("r1").resolve("configuration.1"), bytes("noise"));
+        harness.stop(publisher);
+        ControlProcess corrupted = harness.replica("r1", at(publisher));
+        assertEquals(503, harness.get(corrupted, uri("n1", "booking", ConfigurationVersion.NONE, 0)).status());
+        harness.start(new ControlSettings(at(publisher), "p", harness.state("p"), 1, List.of(), List.of(),
+            ControlSettings.DEFAULT_FULL_UPDATE_RATE));
+        harness.await(corrupted, status -> status.version().equals(last));
+        assertEquals(List.of(deadline(100)), ControlHarness.values(harness.fetchUpdate(corrupted, ConfigurationVersion.NONE, 0)).toList());
     }
 
     @Test
-    void aReplicaWithOneTornFileTellsNothingUntilItHasFollowed() throws Exception {
-        ControlProcess replica = rig.replica("r1", at(publisher));
-        ConfigurationVersion last = rig.publish(publisher, new Change(CLASS, deadline(100)));
-        rig.await(replica, status -> status.version().equals(last));
-        rig.stop(replica);
-        Path newest = Files.getLastModifiedTime(rig.state("r1").resolve("configuration.0"))
-            .compareTo(Files.getLastModifiedTime(rig.state("r1").resolve("configuration.1"))) > 0
-            ? rig.state("r1").resolve("configuration.0") : rig.state("r1").resolve("configuration.1");
+    void aReplicaWithOneCorruptFileServesNothingUntilSynchronised() throws Exception {
+        ControlProcess replica = harness.replica("r1", at(publisher));
+        ConfigurationVersion last = harness.publish(publisher, new Change(CLASS, deadline(100)));
+        harness.await(replica, status -> status.version().equals(last));
+        harness.stop(replica);
+        Path newest = Files.getLastModifiedTime(harness.state("r1").resolve("configuration.0"))
+            .compareTo(Files.getLastModifiedTime(harness.state("r1").resolve("configuration.1"))) > 0
+            ? harness.state("r1").resolve("configuration.0") : harness.state("r1").resolve("configuration.1");
         Files.write(newest, bytes("noise"));
-        rig.stop(publisher);
-        ControlProcess torn = rig.replica("r1", at(publisher));
-        assertEquals(503, rig.get(torn, uri("n1", "booking", ConfigurationVersion.NONE, 0)).status());
-        rig.start(new ControlSettings(at(publisher), "p", rig.state("p"), 1, List.of(), List.of(), ControlSettings.DEFAULT_FULL_UPDATE_RATE));
-        rig.await(torn, status -> status.version().equals(last));
+        harness.stop(publisher);
+        ControlProcess corrupted = harness.replica("r1", at(publisher));
+        assertEquals(503, harness.get(corrupted, uri("n1", "booking", ConfigurationVersion.NONE, 0)).status());
+        harness.start(new ControlSettings(at(publisher), "p", harness.state("p"), 1, List.of(), List.of(),
+            ControlSettings.DEFAULT_FULL_UPDATE_RATE));
+        harness.await(corrupted, status -> status.version().equals(last));
     }
 
     @Test
-    void aReplicaWhoseDiskRefusesGoesOnTellingWhatItHad() throws Exception {
-        ControlProcess replica = rig.replica("r1", at(publisher));
-        ConfigurationVersion first = rig.publish(publisher, new Change(CLASS, deadline(100)));
-        rig.await(replica, status -> status.version().equals(first));
-        Path blocked = rig.state("r1").resolve("configuration.tmp");
+    void aReplicaThatCannotWriteServesItsLastVersion() throws Exception {
+        ControlProcess replica = harness.replica("r1", at(publisher));
+        ConfigurationVersion first = harness.publish(publisher, new Change(CLASS, deadline(100)));
+        harness.await(replica, status -> status.version().equals(first));
+        Path blocked = harness.state("r1").resolve("configuration.tmp");
         Files.createDirectories(blocked.resolve("in-the-way"));
-        long staleMs = rig.status(replica).staleMs();
-        ConfigurationVersion second = rig.publish(publisher, new Change(CLASS, deadline(200)));
-        Status stale = rig.await(replica, status -> status.staleMs() > 3_000 && status.staleMs() > staleMs);
+        long staleMs = harness.status(replica).staleMs();
+        ConfigurationVersion second = harness.publish(publisher, new Change(CLASS, deadline(200)));
+        Status stale = harness.await(replica, status -> status.staleMs() > 3_000 && status.staleMs() > staleMs);
         assertEquals(first, stale.version());
-        assertEquals(List.of(deadline(100)), ControlRig.values(rig.told(replica, ConfigurationVersion.NONE, 0)).toList());
+        assertEquals(List.of(deadline(100)), ControlHarness.values(harness.fetchUpdate(replica, ConfigurationVersion.NONE, 0)).toList());
         Files.delete(blocked.resolve("in-the-way"));
         Files.delete(blocked);
-        rig.await(replica, status -> status.version().equals(second));
+        harness.await(replica, status -> status.version().equals(second));
     }
 
     @Test
-    void aTakeOverGoesOnWithTheNewestStateAndFencesTheOldPublisher() throws Exception {
-        ControlProcess replica = rig.replica("r1", at(publisher));
-        ConfigurationVersion last = rig.publish(publisher, new Change(CLASS, deadline(100)));
-        rig.await(replica, status -> status.version().equals(last));
-        ControlProcess next = rig.publisher("p2", 2, at(replica), at(publisher));
-        assertEquals(new ConfigurationVersion(2, last.number() + 1), rig.status(next).version());
-        assertEquals(List.of(new Entry(CLASS, deadline(100), last)), rig.told(next, ConfigurationVersion.NONE, 0).entries());
-        assertEquals(410, rig.post(publisher, "", changes(null, new Change(CLASS, deadline(200)))).status());
-        rig.stop(replica);
-        ControlProcess moved = rig.replica("r1", at(publisher), at(next));
-        ConfigurationVersion second = rig.publish(next, new Change(CLASS, deadline(300)));
-        rig.await(moved, status -> status.version().equals(second));
-        StartRefusedException late = assertThrows(StartRefusedException.class, () -> rig.publisher("p3", 2, at(moved)));
+    void aTakeOverContinuesFromTheNewestStateAndFencesTheOldPublisher() throws Exception {
+        ControlProcess replica = harness.replica("r1", at(publisher));
+        ConfigurationVersion last = harness.publish(publisher, new Change(CLASS, deadline(100)));
+        harness.await(replica, status -> status.version().equals(last));
+        ControlProcess next = harness.publisher("p2", 2, at(replica), at(publisher));
+        assertEquals(new ConfigurationVersion(2, last.number() + 1), harness.status(next).version());
+        assertEquals(List.of(new Entry(CLASS, deadline(100), last)), harness.fetchUpdate(next, ConfigurationVersion.NONE, 0).entries());
+        assertEquals(410, harness.post(publisher, "", changes(null, new Change(CLASS, deadline(200)))).status());
+        harness.stop(replica);
+        ControlProcess switched = harness.replica("r1", at(publisher), at(next));
+        ConfigurationVersion second = harness.publish(next, new Change(CLASS, deadline(300)));
+        harness.await(switched, status -> status.version().equals(second));
+        StartRefusedException late = assertThrows(StartRefusedException.class, () -> harness.publisher("p3", 2, at(switched)));
         assertTrue(late.getMessage().contains("epoch 2 has begun already"), late.getMessage());
     }
 
     @Test
-    void aTakeOverFromNobodyDoesNotStart() throws Exception {
-        rig.stop(publisher);
-        assertThrows(IOException.class, () -> rig.publisher("p2", 2, at(publisher)));
+    void aTakeOverWithoutAReachableProcessFails() throws Exception {
+        harness.stop(publisher);
+        assertThrows(IOException.class, () -> harness.publisher("p2", 2, at(publisher)));
     }
 
     @Test
-    void aPublisherThatTookOverStartsAgainByTheSameCommand() throws Exception {
-        ControlProcess next = rig.publisher("p2", 2, at(publisher));
-        ConfigurationVersion last = rig.publish(next, new Change(CLASS, deadline(300)));
-        rig.stop(next);
-        rig.stop(publisher);
-        assertEquals(last, rig.status(rig.publisher("p2", 2, at(publisher))).version());
+    void aPublisherThatTookOverRestartsWithTheSameSettings() throws Exception {
+        ControlProcess next = harness.publisher("p2", 2, at(publisher));
+        ConfigurationVersion last = harness.publish(next, new Change(CLASS, deadline(300)));
+        harness.stop(next);
+        harness.stop(publisher);
+        assertEquals(last, harness.status(harness.publisher("p2", 2, at(publisher))).version());
     }
 }
