--- a/src/main/java/onyxpaddle/bgp/AnnouncePolicy.java
+++ b/src/main/java/onyxpaddle/bgp/AnnouncePolicy.java
@@ -27,7 +27,7 @@
  */
 public final class AnnouncePolicy {
     /** How an address stands with the node: what its pools allow, whether operators drain it, and whether it is empty. */
-    public record Standing(Status status, boolean draining, boolean empty) {
+    public record AddressStatus(Status status, boolean draining, boolean empty) {
     }
 
     /**
@@ -41,10 +41,10 @@
      * @param holdDown after a withdrawal at first, in nanoseconds, {@code mostHoldDown} at last
      * @param perMinute announcements and changes a minute
      */
-    public record Terms(List<Prefix> prefixes, boolean withdrawDegraded, boolean last, Long med, Long degradedMed,
+    public record Settings(List<Prefix> prefixes, boolean withdrawDegraded, boolean last, Long med, Long degradedMed,
             List<Integer> communities, List<Integer> degradedCommunities, int prepend, long holdDown, long mostHoldDown,
             int perMinute) {
-        public Terms {
+        public Settings {
             prefixes = List.copyOf(prefixes);
             communities = List.copyOf(communities);
             degradedCommunities = List.copyOf(degradedCommunities);
@@ -72,12 +72,12 @@
     private static final long LAST_PREFERENCE = 0;
     private static final long USUAL_PREFERENCE = 100;
 
-    private final Terms terms;
+    private final Settings terms;
     private final Map<String, Peer> peers = new LinkedHashMap<>();
     /** What each peer was told last; absent for nothing. */
     private final Map<String, Manner> told = new HashMap<>();
     private Manner manner = Manner.WITHDRAWN;
-    private Standing standing = new Standing(Status.DOWN, false, true);
+    private AddressStatus standing = new AddressStatus(Status.DOWN, false, true);
     private double bucket;
     private long bucketAt;
     private long holdDown;
@@ -86,7 +86,7 @@
     private long updates;
     private final List<Order> orders = new ArrayList<>();
 
-    public AnnouncePolicy(Terms terms, long now) {
+    public AnnouncePolicy(Settings terms, long now) {
         this.terms = terms;
         bucket = terms.perMinute();
         bucketAt = now;
@@ -99,7 +99,7 @@
     }
 
     /** How it is announced, for people. */
-    public String told() {
+    public String modeName() {
         return manner.name().toLowerCase(java.util.Locale.ROOT);
     }
 
@@ -119,13 +119,13 @@
     }
 
     /** Goes on from the damping of the process before. */
-    public void recall(long earlierHoldDown, long leftOfHold, long now) {
+    public void recall(long earlierHoldDown, long holdDownRemaining, long now) {
         holdDown = Math.max(terms.holdDown(), Math.min(terms.mostHoldDown(), earlierHoldDown));
-        holdUntil = now + Math.max(0, Math.min(terms.mostHoldDown(), leftOfHold));
+        holdUntil = now + Math.max(0, Math.min(terms.mostHoldDown(), holdDownRemaining));
     }
 
     /** How much longer it is not announced, whatever comes. */
-    public long leftOfHold(long now) {
+    public long holdDownRemaining(long now) {
         return holdUntil <= now ? 0 : holdUntil - now;
     }
 
@@ -133,12 +133,12 @@
     String state(long now) {
         long quiet = withdrawnAt == Long.MIN_VALUE ? -1 : (now - withdrawnAt) / 10_000_000L;
         return manner + " " + told + " " + Math.round(100 * bucket) + " " + (now - bucketAt) / 10_000_000L + " "
-            + holdDown / 10_000_000L + " " + leftOfHold(now) / 10_000_000L + " " + quiet;
+            + holdDown / 10_000_000L + " " + holdDownRemaining(now) / 10_000_000L + " " + quiet;
     }
 
     // ---- what happens ----
 
-    public List<Order> stands(Standing now, long nowNanos) {
+    public List<Order> stands(AddressStatus now, long nowNanos) {
         standing = now;
         return settle(nowNanos);
     }
--- a/src/main/java/onyxpaddle/bgp/Fsm.java
+++ b/src/main/java/onyxpaddle/bgp/Fsm.java
@@ -23,9 +23,9 @@
     public enum Event {
         /** 1. */
         MANUAL_START,
-        /** 2: an operator, or the end of the process; the NOTIFICATION to send may say why. */
+        /** 2: an operator, or the end of the process; the NOTIFICATION to send may say reason. */
         MANUAL_STOP,
-        /** 8: the speaker itself ends the session, as for too many prefixes; the NOTIFICATION to send says why. */
+        /** 8: the speaker itself ends the session, as for too many prefixes; the NOTIFICATION to send says reason. */
         AUTOMATIC_STOP,
         /** 9. */
         CONNECT_RETRY_TIMER_EXPIRES,
@@ -79,8 +79,8 @@
     public record Up(Open peer, int holdTime) implements Action {
     }
 
-    /** The session has ended, or never came to stand; {@code why} for people. */
-    public record Down(String why) implements Action {
+    /** The session has ended, or never came to stand; {@code reason} for people. */
+    public record Down(String reason) implements Action {
     }
 
     /**
@@ -93,7 +93,7 @@
      * @param idleHold how long an oscillating peer is left alone at first; doubled with each failure up to {@code mostIdleHold}
      * @param passive waits to be dialled
      */
-    public record Terms(long as, long peerAs, long identifier, int holdTime, long connectRetry, long idleHold,
+    public record Settings(long as, long peerAs, long identifier, int holdTime, long connectRetry, long idleHold,
             long mostIdleHold, boolean passive) {
     }
 
@@ -106,7 +106,7 @@
     /** A session that stood for so long is no oscillation: the next failure begins anew. */
     private static final long SOUND_AFTER = 60 * SECOND;
 
-    private final Terms terms;
+    private final Settings terms;
     private final SplittableRandom random;
     private final List<Action> actions = new ArrayList<>();
     private State state = State.IDLE;
@@ -124,7 +124,7 @@
     private int failures;
     private boolean wanted;
 
-    public Fsm(Terms terms, long seed) {
+    public Fsm(Settings terms, long seed) {
         this.terms = terms;
         this.random = new SplittableRandom(seed);
     }
@@ -439,10 +439,10 @@
 
     private void cease(Event event, BgpMessage message) {
         boolean collision = event == Event.OPEN_COLLISION_DUMP;
-        Notification why = message instanceof Notification told ? told
+        Notification reason = message instanceof Notification told ? told
             : new Notification(collision ? ErrorCode.COLLISION : ErrorCode.RESET);
-        sendNotification(why);
-        fail(why.toString(), !collision);
+        sendNotification(reason);
+        fail(reason.toString(), !collision);
     }
 
     private void failWith(ErrorCode error, boolean damped) {
@@ -456,10 +456,10 @@
         }
     }
 
-    private void fail(String why, boolean damped) {
+    private void fail(String reason, boolean damped) {
         actions.add(new Drop());
         connectRetryCounter += damped ? 1 : 0;
-        toIdle(why, damped);
+        toIdle(reason, damped);
     }
 
     private void clearTimers() {
@@ -473,14 +473,14 @@
      * Back to Idle, and to start again after the idle hold time, which grows while the session goes on failing
      * (DampPeerOscillations): a peer that flaps costs an attempt now and then.
      */
-    private void toIdle(String why, boolean damped) {
+    private void toIdle(String reason, boolean damped) {
         if (state == State.ESTABLISHED && now - establishedAt >= SOUND_AFTER) {
             failures = 0;
         }
         clearTimers();
         state = State.IDLE;
         peer = null;
-        actions.add(new Down(why));
+        actions.add(new Down(reason));
         if (wanted) {
             long hold = terms.idleHold();
             if (damped) {
--- a/src/main/java/onyxpaddle/bgp/PeerLink.java
+++ b/src/main/java/onyxpaddle/bgp/PeerLink.java
@@ -41,7 +41,7 @@
     private static final long LINGER_MS = 500;
 
     private final Speaker speaker;
-    private final Speaker.PeerTerms terms;
+    private final Speaker.PeerSettings terms;
     private final Peering peering;
     private final Set<Channel> leaving = new HashSet<>();
     private Channel main;
@@ -51,14 +51,14 @@
     private long heard;
     private long updatesSent;
 
-    PeerLink(Speaker speaker, Speaker.PeerTerms terms, long seed, int failures) {
+    PeerLink(Speaker speaker, Speaker.PeerSettings terms, long seed, int failures) {
         this.speaker = speaker;
         this.terms = terms;
         peering = new Peering(terms.fsm(), seed);
         peering.recall(failures);
     }
 
-    Speaker.PeerTerms terms() {
+    Speaker.PeerSettings terms() {
         return terms;
     }
 
@@ -79,8 +79,8 @@
         carryOut(peering.start(speaker.clock.now()));
     }
 
-    void stop(Notification why) {
-        carryOut(peering.stop(why, speaker.clock.now()));
+    void stop(Notification reason) {
+        carryOut(peering.stop(reason, speaker.clock.now()));
     }
 
     void tick(long now) {
@@ -143,7 +143,7 @@
             } else if (action instanceof Up up) {
                 up(up);
             } else if (action instanceof Down down) {
-                down(down.why());
+                down(down.reason());
             }
         }
     }
@@ -214,9 +214,9 @@
         speaker.established(announcing);
     }
 
-    private void down(String why) {
+    private void down(String reason) {
         if (announcing != null) {
-            Log.line("bgp: session with " + terms.name() + " ended: " + why);
+            Log.line("bgp: session with " + terms.name() + " ended: " + reason);
             announcing = null;
             speaker.ended(terms.name());
         }
--- a/src/main/java/onyxpaddle/bgp/Peering.java
+++ b/src/main/java/onyxpaddle/bgp/Peering.java
@@ -20,7 +20,7 @@
     public record Order(Link link, Action action) {
     }
 
-    private final Fsm.Terms terms;
+    private final Fsm.Settings terms;
     private long seeds;
     private Fsm main;
     private boolean mainDialled;
@@ -28,7 +28,7 @@
     private final List<Order> orders = new ArrayList<>();
     private boolean swapped;
 
-    public Peering(Fsm.Terms terms, long seed) {
+    public Peering(Fsm.Settings terms, long seed) {
         this.terms = terms;
         this.seeds = seed;
         main = new Fsm(terms, seeds++);
@@ -71,15 +71,15 @@
     }
 
     /** Ends it with this reason; it stays ended. */
-    public List<Order> stop(Notification why, long now) {
+    public List<Order> stop(Notification reason, long now) {
         begin();
-        dropOther(why, now);
-        return take(Link.MAIN, main.handle(Event.MANUAL_STOP, why, now), now).orders;
+        dropOther(reason, now);
+        return take(Link.MAIN, main.handle(Event.MANUAL_STOP, reason, now), now).orders;
     }
 
     /** The speaker ends the session for a fault of the peer's, and tries again later. */
-    public List<Order> reset(Notification why, long now) {
-        return begin().take(Link.MAIN, main.handle(Event.AUTOMATIC_STOP, why, now), now).orders;
+    public List<Order> reset(Notification reason, long now) {
+        return begin().take(Link.MAIN, main.handle(Event.AUTOMATIC_STOP, reason, now), now).orders;
     }
 
     public List<Order> dialled(long now) {
@@ -104,7 +104,7 @@
             mainDialled = false;
             return take(link, main.handle(Event.TCP_CONNECTION_CONFIRMED, now), now).orders;
         }
-        other = new Fsm(new Fsm.Terms(terms.as(), terms.peerAs(), terms.identifier(), terms.holdTime(), terms.connectRetry(),
+        other = new Fsm(new Fsm.Settings(terms.as(), terms.peerAs(), terms.identifier(), terms.holdTime(), terms.connectRetry(),
             terms.idleHold(), terms.mostIdleHold(), true), seeds++);
         other.recall(main.failures());
         other.handle(Event.MANUAL_START, now);
@@ -165,9 +165,9 @@
         return keepMain;
     }
 
-    private void dropOther(Notification why, long now) {
+    private void dropOther(Notification reason, long now) {
         if (other != null) {
-            for (Action action : other.handle(Event.MANUAL_STOP, why, now)) {
+            for (Action action : other.handle(Event.MANUAL_STOP, reason, now)) {
                 if (!(action instanceof Fsm.Down)) {
                     orders.add(new Order(Link.OTHER, action));
                 }
--- a/src/main/java/onyxpaddle/bgp/ServiceHealth.java
+++ b/src/main/java/onyxpaddle/bgp/ServiceHealth.java
@@ -17,7 +17,7 @@
     public enum Status { UP, DEGRADED, DOWN }
 
     /** What is known of a pool, and since when it is so. */
-    public record Verdict(Status status, String why, long since) {
+    public record Verdict(Status status, String reason, long since) {
     }
 
     /**
@@ -27,7 +27,7 @@
      * @param listed servers on the list, {@code sound} those that are not avoided
      * @param lag how late the node's own loop is, in nanoseconds
      */
-    public record Seen(boolean ready, int listed, int sound, long served, long refused, long failed, long lag) {
+    public record Observation(boolean ready, int listed, int sound, long served, long refused, long failed, long lag) {
     }
 
     /**
@@ -35,25 +35,25 @@
      *
      * @param degradedBelow the share served under which a pool is degraded, {@code downBelow} under which it is down
      * @param margin by how much the share must be over a bound before the pool is better again
-     * @param leastSeen requests in the window for the share to say anything
+     * @param minRequests requests in the window for the share to say anything
      * @param window over which the share is taken
      * @param dwell the least time in a state before a better one
-     * @param worstLag of the loop, over which the node is degraded
+     * @param maxLoopLag of the loop, over which the node is degraded
      */
-    public record Terms(double degradedBelow, double downBelow, double margin, int leastSeen, long window, long dwell, long worstLag) {
+    public record Settings(double degradedBelow, double downBelow, double margin, int minRequests, long window, long dwell, long maxLoopLag) {
         private static final long SECOND = 1_000_000_000L;
-        public static final Terms USUAL = new Terms(0.9, 0.3, 0.05, 20, 10 * SECOND, 5 * SECOND, SECOND / 2);
+        public static final Settings USUAL = new Settings(0.9, 0.3, 0.05, 20, 10 * SECOND, 5 * SECOND, SECOND / 2);
     }
 
     /** What several pools make of an address that needs all of them, or any. */
-    public static Verdict combined(List<Verdict> pools, boolean any) {
+    public static Verdict combine(List<Verdict> pools, boolean any) {
         Comparator<Verdict> order = Comparator.comparing(Verdict::status);
         return pools.stream().min(any ? order : order.reversed()).orElse(new Verdict(Status.DOWN, "no pool", 0));
     }
 
     private static final int PARTS = 10;
 
-    private final Terms terms;
+    private final Settings terms;
     /** Counts at the start of each of the last parts of the window, the oldest at {@code next}. */
     private final long[] served = new long[PARTS];
     private final long[] other = new long[PARTS];
@@ -63,7 +63,7 @@
     private Verdict verdict;
 
     /** It begins down: nothing is announced before a service is seen to be there. */
-    public ServiceHealth(Terms terms, long now) {
+    public ServiceHealth(Settings terms, long now) {
         this.terms = terms;
         partSince = now;
         verdict = new Verdict(Status.DOWN, "not seen yet", now - terms.dwell());
@@ -74,31 +74,31 @@
     }
 
     /** Takes what is seen now, some times a second, and says what that makes of the pool. */
-    public Verdict observe(Seen seen, long now) {
+    public Verdict observe(Observation seen, long now) {
         double share = share(seen, now);
-        String why;
+        String reason;
         Status by;
         if (!seen.ready()) {
             by = Status.DOWN;
-            why = "not ready to serve";
+            reason = "not ready to serve";
         } else if (seen.sound() == 0) {
             by = Status.DOWN;
-            why = seen.listed() == 0 ? "no server is listed" : "none of " + seen.listed() + " servers is sound";
+            reason = seen.listed() == 0 ? "no server is listed" : "none of " + seen.listed() + " servers is sound";
         } else {
             by = byShare(share);
-            why = "serves " + Math.round(100 * share) + " in 100 requests";
-            if (by == Status.UP && seen.lag() > terms.worstLag()) {
+            reason = "serves " + Math.round(100 * share) + " in 100 requests";
+            if (by == Status.UP && seen.lag() > terms.maxLoopLag()) {
                 by = Status.DEGRADED;
-                why = "the node itself is " + seen.lag() / 1_000_000L + " ms behind";
+                reason = "the node itself is " + seen.lag() / 1_000_000L + " ms behind";
             } else if (Double.isNaN(share)) {
-                why = seen.sound() + " of " + seen.listed() + " servers are sound";
+                reason = seen.sound() + " of " + seen.listed() + " servers are sound";
             }
         }
         boolean better = by.compareTo(verdict.status()) < 0;
         if (by != verdict.status() && (!better || now - verdict.since() >= terms.dwell())) {
-            verdict = new Verdict(by, why, now);
+            verdict = new Verdict(by, reason, now);
         } else if (by == verdict.status() && by != Status.UP) {
-            verdict = new Verdict(by, why, verdict.since());
+            verdict = new Verdict(by, reason, verdict.since());
         }
         return verdict;
     }
@@ -114,7 +114,7 @@
     }
 
     /** The share served over the window; NaN where too little was asked to say. */
-    private double share(Seen seen, long now) {
+    private double share(Observation seen, long now) {
         long span = terms.window() / PARTS;
         if (filled == 0) {
             remember(seen);
@@ -132,10 +132,10 @@
         int oldest = filled < PARTS ? 0 : next;
         long good = seen.served() - served[oldest];
         long all = good + seen.refused() + seen.failed() - other[oldest];
-        return all < terms.leastSeen() ? Double.NaN : (double) good / all;
+        return all < terms.minRequests() ? Double.NaN : (double) good / all;
     }
 
-    private void remember(Seen seen) {
+    private void remember(Observation seen) {
         served[next] = seen.served();
         other[next] = seen.refused() + seen.failed();
         next = (next + 1) % PARTS;
--- a/src/main/java/onyxpaddle/bgp/Speaker.java
+++ b/src/main/java/onyxpaddle/bgp/Speaker.java
@@ -20,7 +20,7 @@
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
 import onyxpaddle.bgp.AnnouncePolicy.Order;
-import onyxpaddle.bgp.AnnouncePolicy.Standing;
+import onyxpaddle.bgp.AnnouncePolicy.AddressStatus;
 import onyxpaddle.bgp.BgpMessage.Notification;
 import onyxpaddle.bgp.BgpMessage.Update;
 import onyxpaddle.bgp.Fsm.State;
@@ -44,12 +44,12 @@
      * @param nextHop4 for IPv4 routes to it, {@code nextHop6} for IPv6; null where none are sent
      * @param mostPrefixes that it may announce before its session is ended
      */
-    public record PeerTerms(String name, InetSocketAddress at, InetAddress local, Fsm.Terms fsm, byte[] nextHop4, byte[] nextHop6,
+    public record PeerSettings(String name, InetSocketAddress at, InetAddress local, Fsm.Settings fsm, byte[] nextHop4, byte[] nextHop6,
             int mostPrefixes) {
     }
 
     /** How a peer stands, for on-call staff. */
-    public record PeerStatus(String name, State state, int failures, long heardPrefixes, long updatesSent) {
+    public record PeerStatus(String name, State state, int failures, long receivedPrefixes, long updatesSent) {
     }
 
     final EventLoop loop;
@@ -97,7 +97,7 @@
     }
 
     /** A further peer, whose session is begun; {@code failures}: what it was damped by in the process before, 0 for nothing. */
-    public void add(PeerTerms terms, int failures) {
+    public void add(PeerSettings terms, int failures) {
         PeerLink link = new PeerLink(this, terms, seeds++, failures);
         peers.put(terms.name(), link);
         link.start();
@@ -126,20 +126,20 @@
     public void removeAddress(String address) {
         AnnouncePolicy policy = addresses.remove(address);
         if (policy != null) {
-            carryOut(policy.stands(new Standing(ServiceHealth.Status.DOWN, false, true), clock.now()));
+            carryOut(policy.stands(new AddressStatus(ServiceHealth.Status.DOWN, false, true), clock.now()));
         }
     }
 
     /** How an address stands now. */
-    public void stands(String address, Standing standing) {
+    public void updateStatus(String address, AddressStatus standing) {
         AnnouncePolicy policy = addresses.get(address);
         if (policy == null) {
             return;
         }
-        String before = policy.told();
+        String before = policy.modeName();
         carryOut(policy.stands(standing, clock.now()));
-        if (!before.equals(policy.told())) {
-            Log.line("bgp: address " + address + " is " + policy.told() + ", was " + before);
+        if (!before.equals(policy.modeName())) {
+            Log.line("bgp: address " + address + " is " + policy.modeName() + ", was " + before);
         }
     }
 
@@ -159,12 +159,12 @@
     }
 
     /** Ends all sessions in order, with this reason, and calls {@code done} once their connections are closed. */
-    public void stop(Notification why, Runnable done) {
+    public void stop(Notification reason, Runnable done) {
         stopping = true;
         if (listener != null) {
             listener.close();
         }
-        peers.values().forEach(link -> link.stop(why));
+        peers.values().forEach(link -> link.stop(reason));
         awaitClosed(List.copyOf(peers.values()), done);
     }
 
@@ -179,7 +179,7 @@
 
     // ---- for its links ----
 
-    ChannelFuture dial(PeerTerms terms, ChannelInitializer<SocketChannel> set) {
+    ChannelFuture dial(PeerSettings terms, ChannelInitializer<SocketChannel> set) {
         Bootstrap dial = new Bootstrap().group(loop).channel(io.netty.channel.socket.nio.NioSocketChannel.class)
             .option(ChannelOption.ALLOCATOR, allocator)
             .option(ChannelOption.TCP_NODELAY, true)
--- a/src/main/java/onyxpaddle/command/Door.java
+++ b/src/main/java/onyxpaddle/command/AdminClient.java
@@ -14,11 +14,11 @@
 import picocli.CommandLine.TypeConversionException;
 
 /** A call at a node's operators' door. */
-final class Door {
+final class AdminClient {
     /** The door answers within a second; a busy machine may be slower. */
     private static final Duration PATIENCE = Duration.ofSeconds(5);
 
-    private Door() {
+    private AdminClient() {
     }
 
     /** {@code admin}: null for what $GW_ADMIN says. */
--- a/src/main/java/onyxpaddle/command/BgpCommand.java
+++ b/src/main/java/onyxpaddle/command/BgpCommand.java
@@ -38,7 +38,7 @@
     int check(@Parameters(paramLabel = "FILE") Path file) {
         PrintWriter out = spec.commandLine().getOut();
         Faults faults = new Faults();
-        NodeConfig config = NodeConfigReader.file(file, MachineLimits.here(), faults);
+        NodeConfig config = NodeConfigReader.file(file, MachineLimits.ofThisMachine(), faults);
         if (config == null) {
             faults.list().forEach(spec.commandLine().getErr()::println);
             return FAULTS;
@@ -49,9 +49,9 @@
             return 0;
         }
         bgp.addresses().values().forEach(a -> out.println(a.name() + ": " + String.join(", ", a.prefixes()) + " while "
-            + (a.any() ? "any of " : "all of ") + String.join(", ", a.pools()) + " serve; badly served it is "
-            + (a.withdrawDegraded() && !a.last() ? "withdrawn" : "announced as worse")));
-        bgp.peers().values().forEach(p -> out.println(p.name() + ": " + p.at() + ", AS " + p.as()
+            + (a.anyPool() ? "any of " : "all of ") + String.join(", ", a.pools()) + " serve; badly served it is "
+            + (a.withdrawDegraded() && !a.lastAnnouncer() ? "withdrawn" : "announced as worse")));
+        bgp.peers().values().forEach(p -> out.println(p.name() + ": " + p.address() + ", AS " + p.as()
             + (p.as() == bgp.as() ? " (internal)" : " (external)") + ", IPv4 by " + p.nextHop4() + ", IPv6 by "
             + (p.nextHop6() == null ? "none" : p.nextHop6()) + (p.passive() ? ", waited for" : ", dialled")));
         return 0;
@@ -59,10 +59,10 @@
 
     @Command(name = "show", mixinStandardHelpOptions = true,
         description = "Shows a running node's sessions and addresses, as JSON, by its operators' door.")
-    int show(@Option(names = "--admin", paramLabel = "ADDRESS", converter = Door.Address.class,
+    int show(@Option(names = "--admin", paramLabel = "ADDRESS", converter = AdminClient.Address.class,
             description = "where the node listens for operators; without it what $GW_ADMIN says") HostPort admin)
             throws IOException, InterruptedException {
-        HttpResponse<String> answer = Door.ask(spec, admin, "GET", "/bgp");
+        HttpResponse<String> answer = AdminClient.ask(spec, admin, "GET", "/bgp");
         spec.commandLine().getOut().print(answer.statusCode() == 404 ? "announces nothing\n" : answer.body());
         return answer.statusCode() == 200 ? 0 : Lupinmount.CANNOT_RUN;
     }
--- a/src/main/java/onyxpaddle/command/ControlCommand.java
+++ b/src/main/java/onyxpaddle/command/ControlCommand.java
@@ -44,7 +44,7 @@
         @Spec
         private CommandSpec spec;
 
-        @Option(names = "--listen", required = true, paramLabel = "ADDRESS", converter = Door.Address.class,
+        @Option(names = "--listen", required = true, paramLabel = "ADDRESS", converter = AdminClient.Address.class,
             description = "where nodes, other control processes and operators call")
         private HostPort listen;
 
@@ -61,11 +61,11 @@
             description = "the publisher's epoch: 1 for the first, then one more at each take-over")
         private long epoch;
 
-        @Option(names = "--take-over-from", paramLabel = "ADDRESS", split = ",", converter = Door.Address.class,
+        @Option(names = "--take-over-from", paramLabel = "ADDRESS", split = ",", converter = AdminClient.Address.class,
             description = "control processes from which a publisher copies the newest state before it begins its epoch")
         private List<HostPort> takeOverFrom = List.of();
 
-        @Option(names = "--follow", paramLabel = "ADDRESS", split = ",", converter = Door.Address.class,
+        @Option(names = "--follow", paramLabel = "ADDRESS", split = ",", converter = AdminClient.Address.class,
             description = "the publisher and the other replicas, which a replica follows")
         private List<HostPort> follow = List.of();
 
@@ -108,7 +108,7 @@
     static final class Size implements ITypeConverter<Long> {
         @Override
         public Long convert(String text) {
-            long size = Units.size(text);
+            long size = Units.parseSize(text);
             if (size < 0) {
                 throw new TypeConversionException("`" + text + "` is no size; such as `8 MiB`");
             }
@@ -120,7 +120,7 @@
     static final class Span implements ITypeConverter<Long> {
         @Override
         public Long convert(String text) {
-            long span = Units.span(text);
+            long span = Units.parseSpan(text);
             if (span < 0) {
                 throw new TypeConversionException("`" + text + "` is no time; such as `8 s`");
             }
--- a/src/main/java/onyxpaddle/command/ControlPublish.java
+++ b/src/main/java/onyxpaddle/command/ControlPublish.java
@@ -45,7 +45,7 @@
     @Spec
     private CommandSpec spec;
 
-    @Option(names = "--publisher", required = true, paramLabel = "ADDRESS", converter = Door.Address.class,
+    @Option(names = "--publisher", required = true, paramLabel = "ADDRESS", converter = AdminClient.Address.class,
         description = "where the publisher listens")
     private HostPort publisher;
 
--- a/src/main/java/onyxpaddle/command/ControlStatus.java
+++ b/src/main/java/onyxpaddle/command/ControlStatus.java
@@ -37,7 +37,7 @@
         description = "shows this help; -V is left out, as --version is the configuration's here")
     private boolean help;
 
-    @Option(names = "--control", required = true, split = ",", paramLabel = "ADDRESS", converter = Door.Address.class,
+    @Option(names = "--control", required = true, split = ",", paramLabel = "ADDRESS", converter = AdminClient.Address.class,
         description = "the control processes")
     private List<HostPort> control;
 
--- a/src/main/java/onyxpaddle/command/Lupinmount.java
+++ b/src/main/java/onyxpaddle/command/Lupinmount.java
@@ -8,7 +8,7 @@
 import onyxpaddle.measure.Measure;
 import onyxpaddle.serve.DistributedNode;
 import onyxpaddle.serve.Sidecar;
-import onyxpaddle.sidecar.CommandRun;
+import onyxpaddle.sidecar.CommandRunner;
 import onyxpaddle.sidecar.RpcCommand;
 import onyxpaddle.sidecar.SidecarCommand;
 import picocli.CommandLine;
@@ -41,7 +41,7 @@
             // Its options have types of `distribution`, none of which a node without control processes is to load.
             line.addSubcommand(new ControlCommand());
         }
-        return CommandRun.run(line, args, out, err);
+        return CommandRunner.run(line, args, out, err);
     }
 
     @Override
@@ -63,11 +63,11 @@
         @Option(names = "--config", required = true, paramLabel = "FILE", description = "the node's configuration")
         private Path file;
 
-        @Option(names = "--admin", paramLabel = "ADDRESS", converter = Door.Address.class,
+        @Option(names = "--admin", paramLabel = "ADDRESS", converter = AdminClient.Address.class,
             description = "where operators call, in place of the file's: for a second process beside the first")
         private HostPort admin;
 
-        @Option(names = "--control", split = ",", paramLabel = "ADDRESS", converter = Door.Address.class,
+        @Option(names = "--control", split = ",", paramLabel = "ADDRESS", converter = AdminClient.Address.class,
             description = "control processes whose entries are laid over the file; any number, separated by commas")
         private List<HostPort> control;
 
--- a/src/main/java/onyxpaddle/command/NodeCommand.java
+++ b/src/main/java/onyxpaddle/command/NodeCommand.java
@@ -30,7 +30,7 @@
     @Spec
     private CommandSpec spec;
 
-    @Option(names = "--admin", paramLabel = "ADDRESS", converter = Door.Address.class, scope = ScopeType.INHERIT,
+    @Option(names = "--admin", paramLabel = "ADDRESS", converter = AdminClient.Address.class, scope = ScopeType.INHERIT,
         description = "where the node listens for operators; without it what $GW_ADMIN says")
     private HostPort admin;
 
@@ -119,6 +119,6 @@
     }
 
     private HttpResponse<String> ask(String method, String path) throws IOException, InterruptedException {
-        return Door.ask(spec, admin, method, path);
+        return AdminClient.ask(spec, admin, method, path);
     }
 }
--- a/src/main/java/onyxpaddle/command/SiteCommand.java
+++ b/src/main/java/onyxpaddle/command/SiteCommand.java
@@ -21,7 +21,7 @@
     @Spec
     private CommandSpec spec;
 
-    @Option(names = "--admin", paramLabel = "ADDRESS", converter = Door.Address.class, scope = ScopeType.INHERIT,
+    @Option(names = "--admin", paramLabel = "ADDRESS", converter = AdminClient.Address.class, scope = ScopeType.INHERIT,
         description = "where the node listens for operators; without it what $GW_ADMIN says")
     private HostPort admin;
 
@@ -33,18 +33,18 @@
 
     @Command(name = "state", description = "How each site stands, as JSON.")
     int state() throws IOException, InterruptedException {
-        return told(Door.ask(spec, admin, "GET", "/sites"), "the node knows of no sites");
+        return told(AdminClient.ask(spec, admin, "GET", "/sites"), "the node knows of no sites");
     }
 
     @Command(name = "hold", description = "Nothing new goes there from this node until it is released, whatever the node sees.")
     int hold(@Parameters(paramLabel = "SITE") String site) throws IOException, InterruptedException {
-        return told(Door.ask(spec, admin, "POST", "/sites/hold?id=" + URLEncoder.encode(site, StandardCharsets.UTF_8)),
+        return told(AdminClient.ask(spec, admin, "POST", "/sites/hold?id=" + URLEncoder.encode(site, StandardCharsets.UTF_8)),
             "the node does not know the site `" + site + "`, or holds all others");
     }
 
     @Command(name = "release", description = "Gives a held site back, and forgets the penalty of one that is held down.")
     int release(@Parameters(paramLabel = "SITE") String site) throws IOException, InterruptedException {
-        return told(Door.ask(spec, admin, "POST", "/sites/release?id=" + URLEncoder.encode(site, StandardCharsets.UTF_8)),
+        return told(AdminClient.ask(spec, admin, "POST", "/sites/release?id=" + URLEncoder.encode(site, StandardCharsets.UTF_8)),
             "the node does not know the site `" + site + "`");
     }
 
--- a/src/main/java/onyxpaddle/config/BgpReader.java
+++ b/src/main/java/onyxpaddle/config/BgpReader.java
@@ -14,11 +14,11 @@
     private static final long SECOND = 1_000_000_000L;
     private static final int AS_TRANS = 23456;
 
-    private final View root;
-    private final View at;
+    private final ConfigView root;
+    private final ConfigView at;
     private final Faults faults;
 
-    BgpReader(View root, Faults faults) {
+    BgpReader(ConfigView root, Faults faults) {
         this.root = root;
         this.at = root.section("bgp");
         this.faults = faults;
@@ -41,12 +41,12 @@
         Map<String, String> hosts = new HashMap<>();
         at.named("peers").forEach((name, view) -> {
             Peer peer = peer(name, view, addresses);
-            if (peer.at() != null) {
-                String other = hosts.putIfAbsent(peer.at().host(), name);
+            if (peer.address() != null) {
+                String other = hosts.putIfAbsent(peer.address().host(), name);
                 if (other != null) {
                     faults.add(view.place("address"), view.path("address"), "is the peer `" + other + "` too", "each router once: it has one session");
                 }
-                if (listen != null && peer.at().reaches(listen)) {
+                if (listen != null && peer.address().reaches(listen)) {
                     faults.add(view.place("address"), view.path("address"), "is this node's own `bgp.listen`", "the router's address");
                 }
             }
@@ -66,14 +66,14 @@
         return number;
     }
 
-    private static byte[] ip(View view, String key) {
-        String text = view.text(key, Shape.Kind.IP, null);
+    private static byte[] ip(ConfigView view, String key) {
+        String text = view.text(key, Schema.Kind.IP, null);
         return text == null ? null : Ip.parse(text);
     }
 
     /** RFC 7607, 6793, 7300, and 5398 for documentation. */
-    private long as(View view) {
-        String text = view.text("as", Shape.Kind.COUNT, "0");
+    private long as(ConfigView view) {
+        String text = view.text("as", Schema.Kind.COUNT, "0");
         long as = Long.parseLong(text);
         boolean documentation = as >= 64496 && as <= 64511 || as >= 65536 && as <= 65551;
         if (as == AS_TRANS || as == 65535 || as == 4294967295L || documentation) {
@@ -83,15 +83,15 @@
         return as;
     }
 
-    private Peer peer(String name, View view, Map<String, Service> addresses) {
+    private Peer peer(String name, ConfigView view, Map<String, Service> addresses) {
         long hold = view.span("hold-time", 30 * SECOND);
         if (hold > 0 && hold < 3 * SECOND || hold % SECOND != 0) {
-            faults.add(view.place("hold-time"), view.path("hold-time"), "is no hold time: " + Units.spanText(hold),
+            faults.add(view.place("hold-time"), view.path("hold-time"), "is no hold time: " + Units.formatSpan(hold),
                 "0 s for none, or whole seconds from 3 s on (RFC 4271, 4.2)");
         }
-        String local = view.text("local", Shape.Kind.IP, null);
-        String hop4 = view.text("next-hop", Shape.Kind.IP, local);
-        String hop6 = view.text("next-hop-6", Shape.Kind.IP, null);
+        String local = view.text("local", Schema.Kind.IP, null);
+        String hop4 = view.text("next-hop", Schema.Kind.IP, local);
+        String hop6 = view.text("next-hop-6", Schema.Kind.IP, null);
         boolean four = addresses.values().stream().anyMatch(a -> a.prefixes().stream().anyMatch(p -> !p.contains(":")));
         boolean six = addresses.values().stream().anyMatch(a -> a.prefixes().stream().anyMatch(p -> p.contains(":")));
         if (four && (hop4 == null || hop4.contains(":"))) {
@@ -109,11 +109,11 @@
             view.count("most-prefixes", 10_000), view.span("connect-retry", 30 * SECOND));
     }
 
-    private Service service(String name, View view, Set<String> pools) {
-        List<String> named = view.texts("pools", Shape.Kind.NAME);
+    private Service service(String name, ConfigView view, Set<String> pools) {
+        List<String> named = view.texts("pools", Schema.Kind.NAME);
         for (String pool : named) {
             if (!pools.contains(pool)) {
-                String near = Words.nearest(pool, List.copyOf(pools));
+                String near = SpellingSuggestions.nearest(pool, List.copyOf(pools));
                 faults.add(view.place("pools"), view.path("pools"), "there is no pool `" + pool + "`",
                     near != null ? "did you mean `" + near + "`?" : "one of " + String.join(", ", pools));
             }
@@ -129,20 +129,20 @@
         if (most < first) {
             faults.add(view.place("most-hold-down"), view.path("most-hold-down"), "is less than `hold-down`", "at least that");
         }
-        return new Service(name, view.texts("prefixes", Shape.Kind.PREFIX), named, view.word("needs", "all", "all", "any").equals("any"),
+        return new Service(name, view.texts("prefixes", Schema.Kind.PREFIX), named, view.word("needs", "all", "all", "any").equals("any"),
             view.word("degraded", "deprioritise", "deprioritise", "withdraw").equals("withdraw"), view.flag("last", false),
             whole(view, "med"), whole(view, "degraded-med"), communities(view, "communities"), communities(view, "degraded-communities"),
             view.count("prepend", 3), first, most, view.count("per-minute", 6), degraded, down, view.span("dwell", 5 * SECOND));
     }
 
-    private static Long whole(View view, String key) {
-        String text = view.text(key, Shape.Kind.COUNT, null);
+    private static Long whole(ConfigView view, String key) {
+        String text = view.text(key, Schema.Kind.COUNT, null);
         return text == null ? null : Long.valueOf(text);
     }
 
-    private static List<Integer> communities(View view, String key) {
+    private static List<Integer> communities(ConfigView view, String key) {
         List<Integer> all = new ArrayList<>();
-        view.texts(key, Shape.Kind.COMMUNITY).forEach(text -> all.add(Ip.community(text)));
+        view.texts(key, Schema.Kind.COMMUNITY).forEach(text -> all.add(Ip.community(text)));
         return all;
     }
 
@@ -150,7 +150,7 @@
     private void twice() {
         Map<String, String> first = new HashMap<>();
         at.named("addresses").forEach((name, view) -> {
-            for (String prefix : view.texts("prefixes", Shape.Kind.PREFIX)) {
+            for (String prefix : view.texts("prefixes", Schema.Kind.PREFIX)) {
                 Ip.Range range = Ip.prefix(prefix);
                 String other = first.putIfAbsent(java.util.Arrays.toString(range.address()) + range.bits(), name);
                 if (other != null) {
--- a/src/main/java/onyxpaddle/config/View.java
+++ b/src/main/java/onyxpaddle/config/ConfigView.java
@@ -9,13 +9,13 @@
 import onyxpaddle.config.Value.Sequence;
 
 /**
- * Reads the keys of a section. It never fails: what is absent or does not fit gives the default, as {@link ShapeCheck}
+ * Reads the keys of a section. It never fails: what is absent or does not fit gives the default, as {@link SchemaValidator}
  * has told what does not fit, and the checks that follow should still see all the rest.
  */
-public final class View {
+public final class ConfigView {
     private final Value at;
 
-    public View(Value at) {
+    public ConfigView(Value at) {
         this.at = at;
     }
 
@@ -34,7 +34,7 @@
     }
 
     public String path(String key) {
-        return ShapeCheck.join(at.path(), key);
+        return SchemaValidator.join(at.path(), key);
     }
 
     public boolean has(String key) {
@@ -45,89 +45,89 @@
         return at instanceof Mapping mapping ? mapping.values().get(key) : null;
     }
 
-    private String sound(Value value, Shape.Plain plain) {
-        return value instanceof Scalar scalar && ShapeCheck.wrong(scalar.text(), plain) == null ? scalar.text() : null;
+    private String sound(Value value, Schema.ScalarSchema plain) {
+        return value instanceof Scalar scalar && SchemaValidator.wrong(scalar.text(), plain) == null ? scalar.text() : null;
     }
 
     /** The text of this value itself, where it is plain and of that kind; null otherwise. */
-    public String self(Shape.Kind kind) {
-        return sound(at, Shape.plain(kind));
+    public String self(Schema.Kind kind) {
+        return sound(at, Schema.plain(kind));
     }
 
-    public String text(String key, Shape.Kind kind, String usual) {
-        String text = sound(value(key), Shape.plain(kind));
+    public String text(String key, Schema.Kind kind, String usual) {
+        String text = sound(value(key), Schema.plain(kind));
         return text == null ? usual : text;
     }
 
     public String word(String key, String usual, String... words) {
-        String text = sound(value(key), Shape.word(words));
+        String text = sound(value(key), Schema.word(words));
         return text == null ? usual : text;
     }
 
     public long span(String key, long usual) {
-        String text = text(key, Shape.Kind.SPAN, null);
-        return text == null ? usual : Units.span(text);
+        String text = text(key, Schema.Kind.SPAN, null);
+        return text == null ? usual : Units.parseSpan(text);
     }
 
     public long size(String key, long usual) {
-        String text = text(key, Shape.Kind.SIZE, null);
-        return text == null ? usual : Units.size(text);
+        String text = text(key, Schema.Kind.SIZE, null);
+        return text == null ? usual : Units.parseSize(text);
     }
 
     public int count(String key, int usual) {
-        String text = text(key, Shape.Kind.COUNT, null);
+        String text = text(key, Schema.Kind.COUNT, null);
         return text == null ? usual : (int) Math.max(Integer.MIN_VALUE, Math.min(Integer.MAX_VALUE, Long.parseLong(text)));
     }
 
     public int port(String key) {
-        String text = text(key, Shape.Kind.PORT, null);
+        String text = text(key, Schema.Kind.PORT, null);
         return text == null ? 0 : Integer.parseInt(text);
     }
 
     public double number(String key, double usual) {
-        String text = text(key, Shape.Kind.NUMBER, null);
+        String text = text(key, Schema.Kind.NUMBER, null);
         return text == null ? usual : Double.parseDouble(text);
     }
 
     public boolean flag(String key, boolean usual) {
-        String text = text(key, Shape.Kind.FLAG, null);
+        String text = text(key, Schema.Kind.FLAG, null);
         return text == null ? usual : text.equals("true");
     }
 
     public HostPort address(String key) {
-        String text = text(key, Shape.Kind.ADDRESS, null);
+        String text = text(key, Schema.Kind.ADDRESS, null);
         return text == null ? null : HostPort.parse(text);
     }
 
     /** A section; an empty one where there is none. */
-    public View section(String key) {
+    public ConfigView section(String key) {
         Value value = value(key);
-        return new View(value instanceof Mapping ? value
+        return new ConfigView(value instanceof Mapping ? value
             : new Mapping(place(key), path(key), Map.of(), Map.of()));
     }
 
     /** The items of a list; none where there is no list. */
-    public List<View> items(String key) {
-        List<View> items = new ArrayList<>();
+    public List<ConfigView> items(String key) {
+        List<ConfigView> items = new ArrayList<>();
         if (value(key) instanceof Sequence sequence) {
-            sequence.items().forEach(item -> items.add(new View(item)));
+            sequence.items().forEach(item -> items.add(new ConfigView(item)));
         }
         return items;
     }
 
     /** The plain items of a list that are of this kind. */
-    public List<String> texts(String key, Shape.Kind kind) {
+    public List<String> texts(String key, Schema.Kind kind) {
         return items(key).stream().map(item -> item.self(kind)).filter(java.util.Objects::nonNull).toList();
     }
 
     /** The sections under chosen names, in the order of the file. */
-    public Map<String, View> named(String key) {
-        Map<String, View> named = new LinkedHashMap<>();
+    public Map<String, ConfigView> named(String key) {
+        Map<String, ConfigView> named = new LinkedHashMap<>();
         if (value(key) instanceof Mapping mapping) {
             mapping.keys().keySet().forEach(name -> {
                 Value value = mapping.values().get(name);
                 if (value != null) {
-                    named.put(name, new View(value));
+                    named.put(name, new ConfigView(value));
                 }
             });
         }
--- a/src/main/java/onyxpaddle/config/Faults.java
+++ b/src/main/java/onyxpaddle/config/Faults.java
@@ -10,7 +10,7 @@
     private static final int MOST = 200;
 
     private final TreeSet<Fault> found = new TreeSet<>();
-    private int leftOut;
+    private int omitted;
 
     public void add(Place place, String path, String wrong, String right) {
         add(new Fault(place, path, wrong, right));
@@ -20,7 +20,7 @@
         if (found.size() < MOST) {
             found.add(fault);
         } else {
-            leftOut++;
+            omitted++;
         }
     }
 
@@ -37,7 +37,7 @@
     }
 
     /** How many more there were than are kept. */
-    public int leftOut() {
-        return leftOut;
+    public int omitted() {
+        return omitted;
     }
 }
--- a/src/main/java/onyxpaddle/config/HostPort.java
+++ b/src/main/java/onyxpaddle/config/HostPort.java
@@ -55,7 +55,7 @@
     }
 
     /** Whether listening on both would clash. An address of all interfaces covers IPv4 and IPv6 alike. */
-    public boolean clashes(HostPort other) {
+    public boolean conflictsWith(HostPort other) {
         return port == other.port && port != 0 && (any() || other.any() || host.equals(other.host));
     }
 
--- a/src/main/java/onyxpaddle/config/MachineLimits.java
+++ b/src/main/java/onyxpaddle/config/MachineLimits.java
@@ -10,7 +10,7 @@
     public static final MachineLimits UNKNOWN = new MachineLimits(0, 0);
 
     /** Those of this machine. */
-    public static MachineLimits here() {
+    public static MachineLimits ofThisMachine() {
         java.lang.management.OperatingSystemMXBean os =
             java.lang.management.ManagementFactory.getOperatingSystemMXBean();
         return os instanceof com.sun.management.UnixOperatingSystemMXBean unix
@@ -18,14 +18,14 @@
     }
 
     /** Adds a fault for each limit that the machine cannot hold. */
-    public void check(View limits, NodeConfig.Limits wanted, Faults faults) {
+    public void check(ConfigView limits, NodeConfig.Limits wanted, Faults faults) {
         if (descriptors > 0 && wanted.descriptors() > descriptors) {
             faults.add(limits.place("descriptors"), limits.path("descriptors"), wanted.descriptors()
                 + " descriptors where a process on this machine may have " + descriptors,
                 "at most " + descriptors + ", or raise the limit (`ulimit -n`)");
         }
         if (memory > 0 && wanted.memory() > memory) {
-            faults.add(limits.place("memory"), limits.path("memory"), Units.sizeText(wanted.memory())
+            faults.add(limits.place("memory"), limits.path("memory"), Units.formatSize(wanted.memory())
                 + " where the machine has " + (memory >> 20) + " MiB in all", "less than the machine has");
         }
     }
--- a/src/main/java/onyxpaddle/config/NodeConfig.java
+++ b/src/main/java/onyxpaddle/config/NodeConfig.java
@@ -34,7 +34,7 @@
      */
     public record Listener(String name, HostPort address, long idle, boolean outbound, boolean rpc, int openCalls) {
         /** Whether a listener that stands may go on as this one. */
-        public boolean sameDoor(Listener other) {
+        public boolean sameEndpoint(Listener other) {
             return address.equals(other.address) && rpc == other.rpc;
         }
     }
@@ -62,7 +62,7 @@
         }
 
         /** Its addresses, for people. */
-        public String told() {
+        public String displayAddresses() {
             return address == null ? rpc + " (rpc)" : rpc == null ? address.toString() : address + " and " + rpc + " (rpc)";
         }
     }
@@ -75,7 +75,7 @@
      * @param envelope whether servers are told of key, tenant and time left
      */
     public record Rpc(int connections, int calls, boolean envelope) {
-        public static final Rpc USUAL = new Rpc(4, 256, false);
+        public static final Rpc DEFAULT = new Rpc(4, 256, false);
     }
 
     /**
@@ -92,12 +92,12 @@
     public record Pool(String name, List<Server> servers, Path file, HostPort discovery, long connectTimeout,
             long keepAlive, long idle, int attempts, int inFlight, long body, long held, long cold, double startCapacity, Rpc rpc) {
         /** The same but for its servers. */
-        public boolean differsInServersOnly(Pool other) {
+        public boolean equalsExceptServers(Pool other) {
             return withoutServers().equals(other.withoutServers());
         }
 
         /** The same with a fixed list of servers. */
-        public Pool at(List<Server> fixed) {
+        public Pool withServers(List<Server> fixed) {
             return new Pool(name, fixed, null, null, connectTimeout, keepAlive, idle, attempts, inFlight, body, held, cold,
                 startCapacity, rpc);
         }
@@ -121,12 +121,12 @@
     }
 
     /** Whether bodies of the pool's requests must be held whole, as they are, or may be, MessagePack. */
-    public boolean holdsWhole(String pool) {
-        return called(pool) || routes.stream().anyMatch(r -> r.pool().equals(pool) && r.procedure() != null);
+    public boolean buffersWholeBodies(String pool) {
+        return hasProcedures(pool) || routes.stream().anyMatch(r -> r.pool().equals(pool) && r.procedure() != null);
     }
 
     /** Whether any procedure leads to the pool. */
-    public boolean called(String pool) {
+    public boolean hasProcedures(String pool) {
         return procedures.stream().anyMatch(p -> p.pool().equals(pool));
     }
 }
--- a/src/main/java/onyxpaddle/config/NodeConfigReader.java
+++ b/src/main/java/onyxpaddle/config/NodeConfigReader.java
@@ -26,26 +26,26 @@
 public final class NodeConfigReader {
     private static final long MS = 1_000_000L;
     private static final long S = 1_000_000_000L;
-    public static final long USUAL_DIAL = 250 * MS;
-    public static final long USUAL_KEEP_ALIVE = 5 * S;
-    public static final long USUAL_BODY = 1 << 20;
-    public static final long USUAL_HELD = 1 << 20;
-    public static final long USUAL_MEMORY = 64L << 20;
-    public static final int USUAL_DESCRIPTORS = 1024;
+    public static final long DEFAULT_CONNECT_TIMEOUT = 250 * MS;
+    public static final long DEFAULT_KEEP_ALIVE = 5 * S;
+    public static final long DEFAULT_BODY = 1 << 20;
+    public static final long DEFAULT_HELD = 1 << 20;
+    public static final long DEFAULT_MEMORY = 64L << 20;
+    public static final int DEFAULT_DESCRIPTORS = 1024;
     /** Bytes of a folder's name that leave room for a socket's: the system takes some 100 in all. */
     private static final int LONGEST_FOLDER = 80;
-    private static final long USUAL_CLIENT_IDLE = 60 * S;
-    public static final int USUAL_OPEN_CALLS = 256;
+    private static final long DEFAULT_CLIENT_IDLE = 60 * S;
+    public static final int DEFAULT_OPEN_CALLS = 256;
     /** Part of the servers' idle limit after which an idle connection is not used any more. */
-    public static final double IDLE_PART = 0.7;
+    public static final double IDLE_FRACTION = 0.7;
 
-    private final View root;
+    private final ConfigView root;
     private final Path folder;
     private final Faults faults;
     /** By pool, the servers that are known already. */
     private final Map<String, List<Server>> known = new HashMap<>();
 
-    private NodeConfigReader(View root, Path folder, Faults faults) {
+    private NodeConfigReader(ConfigView root, Path folder, Faults faults) {
         this.root = root;
         this.folder = folder;
         this.faults = faults;
@@ -62,8 +62,8 @@
 
     /** {@code folder}: from which list files are named. What it returns is whole only if there are no faults. */
     public static NodeConfig read(Value value, Path folder, MachineLimits machine, Faults faults) {
-        ShapeCheck.check(value, NodeShape.NODE, faults);
-        return new NodeConfigReader(new View(value), folder, faults).all(machine);
+        SchemaValidator.check(value, NodeSchema.NODE, faults);
+        return new NodeConfigReader(new ConfigView(value), folder, faults).all(machine);
     }
 
     private NodeConfig all(MachineLimits machine) {
@@ -89,25 +89,25 @@
             unused("pools", used, "no route leads to this pool");
             unused("classes", used, "no route gives its requests this class");
         }
-        NodeConfig config = new NodeConfig(root.text("name", Shape.Kind.NAME, ""), root.text("tenant", Shape.Kind.NAME, null),
+        NodeConfig config = new NodeConfig(root.text("name", Schema.Kind.NAME, ""), root.text("tenant", Schema.Kind.NAME, null),
             limits, admin(root, faults), handover(root, folder, faults),
             new BgpReader(root, faults).all(pools.keySet()), listeners, classes, pools, routes, procedures);
         pools.forEach((name, pool) -> {
-            View at = root.named("pools").get(name);
+            ConfigView at = root.named("pools").get(name);
             ProtocolCheck.check(config, pool, at, known.get(name), faults);
-            if (config.holdsWhole(name)) {
-                fitsWhole(at, pool, limits, faults);
+            if (config.buffersWholeBodies(name)) {
+                checkWholeBodiesFit(at, pool, limits, faults);
             }
         });
         return config;
     }
 
-    public static Limits limits(View view) {
-        return new Limits(view.size("memory", USUAL_MEMORY), view.count("descriptors", USUAL_DESCRIPTORS));
+    public static Limits limits(ConfigView view) {
+        return new Limits(view.size("memory", DEFAULT_MEMORY), view.count("descriptors", DEFAULT_DESCRIPTORS));
     }
 
     /** Where operators call, checked; null for no door. */
-    public static HostPort admin(View root, Faults faults) {
+    public static HostPort admin(ConfigView root, Faults faults) {
         HostPort admin = root.address("admin");
         if (admin != null && admin.any()) {
             faults.add(root.place("admin"), root.path("admin"), "whoever reaches this machine could empty the node",
@@ -117,8 +117,8 @@
     }
 
     /** The folder in which processes meet, checked; null for none. */
-    public static Path handover(View root, Path folder, Faults faults) {
-        String text = root.text("handover", Shape.Kind.TEXT, null);
+    public static Path handover(ConfigView root, Path folder, Faults faults) {
+        String text = root.text("handover", Schema.Kind.TEXT, null);
         if (text == null) {
             return null;
         }
@@ -147,26 +147,26 @@
                 return;
             }
             for (Listener other : listeners.values()) {
-                if (other.address().clashes(address)) {
+                if (other.address().conflictsWith(address)) {
                     faults.add(view.place("address"), view.path("address"), address + " is claimed by the listener `"
                         + other.name() + "` too (" + other.address() + ")", "a port of its own for each listener");
                 }
             }
             HostPort admin = root.address("admin");
-            if (admin != null && admin.clashes(address)) {
+            if (admin != null && admin.conflictsWith(address)) {
                 faults.add(view.place("address"), view.path("address"), address + " is where operators call too (`admin`: "
                     + admin + ")", "a port of its own for each");
             }
-            listeners.put(name, new Listener(name, address, view.span("idle", USUAL_CLIENT_IDLE),
+            listeners.put(name, new Listener(name, address, view.span("idle", DEFAULT_CLIENT_IDLE),
                 view.word("side", "inbound", "inbound", "outbound").equals("outbound"),
                 view.word("protocol", "http", "http", "messagepack-rpc").equals("messagepack-rpc"),
-                view.count("open-calls", USUAL_OPEN_CALLS)));
+                view.count("open-calls", DEFAULT_OPEN_CALLS)));
         });
         return listeners;
     }
 
     /** A class, checked; null where it has no effect or no deadline. */
-    public static RequestClass requestClass(String name, View view, Faults faults) {
+    public static RequestClass requestClass(String name, ConfigView view, Faults faults) {
         String word = view.word("effect", null, "safe", "keyed", "unsafe");
         long deadline = view.span("deadline", -1);
         if (word == null || deadline < 0) {
@@ -175,8 +175,8 @@
         Effect effect = Effect.valueOf(word.toUpperCase(java.util.Locale.ROOT));
         long aim = view.span("aim", deadline);
         if (aim > deadline) {
-            faults.add(view.place("aim"), view.path("aim"), "the aim of " + Units.spanText(aim)
-                + " lies after the deadline of " + Units.spanText(deadline), "an aim no later than the deadline");
+            faults.add(view.place("aim"), view.path("aim"), "the aim of " + Units.formatSpan(aim)
+                + " lies after the deadline of " + Units.formatSpan(deadline), "an aim no later than the deadline");
         }
         long memory = view.span("memory", 0);
         if (effect == Effect.KEYED && memory == 0) {
@@ -196,17 +196,17 @@
             memory, retry);
     }
 
-    private Pool pool(String name, View view, Limits limits, Collection<Listener> listeners) {
+    private Pool pool(String name, ConfigView view, Limits limits, Collection<Listener> listeners) {
         int sources = (view.has("servers") ? 1 : 0) + (view.has("file") ? 1 : 0) + (view.has("discovery") ? 1 : 0);
         if (sources != 1) {
             faults.add(view.place(), view.path(), sources == 0 ? "no servers" : "servers from " + sources + " sources",
                 "one of `servers`, `file` and `discovery`");
         }
-        List<Server> servers = ServerLists.read(view, "servers", faults);
-        Path file = listFile(view, folder, faults);
+        List<Server> servers = ServerListReader.read(view, "servers", faults);
+        Path file = listFilePath(view, folder, faults);
         List<Server> known = servers;
         if (file != null) {
-            List<Server> listed = ServerLists.named(view, file, faults);
+            List<Server> listed = ServerListReader.named(view, file, faults);
             known = listed == null ? List.of() : listed;
         }
         this.known.put(name, known);
@@ -214,18 +214,18 @@
             for (Listener listener : listeners) {
                 if (server.addresses().stream().anyMatch(a -> a.reaches(listener.address()))) {
                     String key = file != null ? "file" : "servers";
-                    faults.add(view.place(key), view.path(key), "the server " + server.told()
+                    faults.add(view.place(key), view.path(key), "the server " + server.displayAddresses()
                         + " is this node's own listener `" + listener.name() + "`: requests would go round in a circle",
                         "the address of the servers themselves");
                 }
             }
         }
-        return settings(name, view, servers, file, view.address("discovery"), limits, faults);
+        return poolSettings(name, view, servers, file, view.address("discovery"), limits, faults);
     }
 
     /** The list file that a section names, by its folder; null where it names none. */
-    public static Path listFile(View view, Path folder, Faults faults) {
-        String text = view.text("file", Shape.Kind.TEXT, null);
+    public static Path listFilePath(ConfigView view, Path folder, Faults faults) {
+        String text = view.text("file", Schema.Kind.TEXT, null);
         if (text == null) {
             return null;
         }
@@ -238,51 +238,51 @@
     }
 
     /** A pool's settings but for where its servers come from, checked. */
-    public static Pool settings(String name, View view, List<Server> servers, Path file, HostPort discovery,
+    public static Pool poolSettings(String name, ConfigView view, List<Server> servers, Path file, HostPort discovery,
             Limits limits, Faults faults) {
-        long keepAlive = view.span("keep-alive", USUAL_KEEP_ALIVE);
-        long idle = view.span("idle", (long) (IDLE_PART * keepAlive));
+        long keepAlive = view.span("keep-alive", DEFAULT_KEEP_ALIVE);
+        long idle = view.span("idle", (long) (IDLE_FRACTION * keepAlive));
         if (idle >= keepAlive) {
-            faults.add(view.place("idle"), view.path("idle"), "connections are kept for " + Units.spanText(idle)
-                + " where servers close them after " + Units.spanText(keepAlive) + " (`keep-alive`)",
+            faults.add(view.place("idle"), view.path("idle"), "connections are kept for " + Units.formatSpan(idle)
+                + " where servers close them after " + Units.formatSpan(keepAlive) + " (`keep-alive`)",
                 "less than `keep-alive`, as a request on a connection that is just closed fails");
         }
-        long body = view.size("body", USUAL_BODY);
-        long held = Math.min(body, view.size("held", USUAL_HELD));
+        long body = view.size("body", DEFAULT_BODY);
+        long held = Math.min(body, view.size("held", DEFAULT_HELD));
         fits(view, "held", held, limits, faults);
-        return new Pool(name, servers, file, discovery, view.span("connect-timeout", USUAL_DIAL), keepAlive, idle,
+        return new Pool(name, servers, file, discovery, view.span("connect-timeout", DEFAULT_CONNECT_TIMEOUT), keepAlive, idle,
             view.count("attempts", 3), view.count("in-flight", 0), body, held, view.span("cold", 0),
             view.number("start-capacity", 1), rpc(view.section("rpc")));
     }
 
     /** Adds a fault where bodies that are held under this key are too large for several to fit. */
-    private static void fits(View view, String key, long bytes, Limits limits, Faults faults) {
+    private static void fits(ConfigView view, String key, long bytes, Limits limits, Faults faults) {
         if (bytes > limits.memory() / 8) {
-            faults.add(view.place(key), view.path(key), "bodies of " + Units.sizeText(bytes) + " held in a memory of "
-                + Units.sizeText(limits.memory()), "at most an eighth of `limits.memory`, so that several fit");
+            faults.add(view.place(key), view.path(key), "bodies of " + Units.formatSize(bytes) + " held in a memory of "
+                + Units.formatSize(limits.memory()), "at most an eighth of `limits.memory`, so that several fit");
         }
     }
 
     /** For a pool whose bodies are held whole, as they are MessagePack. */
-    public static void fitsWhole(View view, Pool pool, Limits limits, Faults faults) {
+    public static void checkWholeBodiesFit(ConfigView view, Pool pool, Limits limits, Faults faults) {
         fits(view, "body", pool.body(), limits, faults);
     }
 
-    private static Rpc rpc(View view) {
-        return new Rpc(view.count("connections", Rpc.USUAL.connections()), view.count("calls", Rpc.USUAL.calls()),
-            view.flag("envelope", Rpc.USUAL.envelope()));
+    private static Rpc rpc(ConfigView view) {
+        return new Rpc(view.count("connections", Rpc.DEFAULT.connections()), view.count("calls", Rpc.DEFAULT.calls()),
+            view.flag("envelope", Rpc.DEFAULT.envelope()));
     }
 
     private List<Route> routes(Map<String, Set<String>> used, Map<String, Listener> doors) {
         List<Route> routes = new ArrayList<>();
-        Map<Route, View> places = new HashMap<>();
+        Map<Route, ConfigView> places = new HashMap<>();
         Map<String, Place> names = new HashMap<>();
-        for (View view : root.items("routes")) {
-            String name = view.text("name", Shape.Kind.NAME, null);
+        for (ConfigView view : root.items("routes")) {
+            String name = view.text("name", Schema.Kind.NAME, null);
             String listener = known(root, view, "listener", "listeners", used, faults);
             String pool = known(root, view, "pool", "pools", used, faults);
             String requestClass = known(root, view, "class", "classes", used, faults);
-            String path = view.text("path", Shape.Kind.PATH, null);
+            String path = view.text("path", Schema.Kind.PATH, null);
             if (doors.containsKey(listener) && doors.get(listener).rpc()) {
                 faults.add(view.place("listener"), view.path("listener"), "callers of `" + listener
                     + "` speak MessagePack-RPC, and this is a route for HTTP", "an HTTP listener, or an entry of `procedures`");
@@ -297,24 +297,24 @@
             }
             Map<String, String> headers = new LinkedHashMap<>();
             view.named("headers").forEach((header, value) -> {
-                String text = value.self(Shape.Kind.TEXT);
+                String text = value.self(Schema.Kind.TEXT);
                 if (text != null) {
                     headers.put(header, text);
                 }
             });
-            Route route = new Route(name, listener, view.text("host", Shape.Kind.HOST, null), path,
-                new HashSet<>(view.texts("methods", Shape.Kind.METHOD)), headers, pool, requestClass,
-                view.text("rewrite", Shape.Kind.PATH, null), procedure(view));
+            Route route = new Route(name, listener, view.text("host", Schema.Kind.HOST, null), path,
+                new HashSet<>(view.texts("methods", Schema.Kind.METHOD)), headers, pool, requestClass,
+                view.text("rewrite", Schema.Kind.PATH, null), procedure(view));
             if (places.put(route, view) == null) {
                 routes.add(route);
             }
         }
-        conflicts(routes, places, faults);
+        checkConflicts(routes, places, faults);
         return routes;
     }
 
-    private String procedure(View view) {
-        String procedure = view.text("procedure", Shape.Kind.PROCEDURE, null);
+    private String procedure(ConfigView view) {
+        String procedure = view.text("procedure", Schema.Kind.PROCEDURE, null);
         if (procedure != null && procedure.endsWith("*")) {
             faults.add(view.place("procedure"), view.path("procedure"), "a route stands for one procedure",
                 "its name in full, without `*`");
@@ -323,10 +323,10 @@
     }
 
     /** Adds a fault for each two routes that conflict, at the place of the later one. */
-    public static void conflicts(List<Route> routes, Map<Route, View> places, Faults faults) {
+    public static void checkConflicts(List<Route> routes, Map<Route, ConfigView> places, Faults faults) {
         for (Conflict conflict : RouteConflicts.find(routes)) {
-            View at = places.get(conflict.route());
-            View other = places.get(conflict.other());
+            ConfigView at = places.get(conflict.route());
+            ConfigView other = places.get(conflict.other());
             String who = "route `" + conflict.other().name() + "` at line " + other.place().line() + " ("
                 + conflict.other().conditions() + ")";
             if (conflict.ambiguous()) {
@@ -340,15 +340,15 @@
     }
 
     /** The name under a key, if it is one of those in that part of the whole; a fault, and null, where it is not. */
-    static String known(View root, View view, String key, String among, Map<String, Set<String>> used, Faults faults) {
-        String name = view.text(key, Shape.Kind.NAME, null);
+    static String known(ConfigView root, ConfigView view, String key, String among, Map<String, Set<String>> used, Faults faults) {
+        String name = view.text(key, Schema.Kind.NAME, null);
         if (root.named(among).isEmpty()) {
             // Told where they should stand, and not once more for each route.
             return null;
         }
         if (name != null && !root.named(among).containsKey(name)) {
             List<String> names = new ArrayList<>(root.named(among).keySet());
-            String near = Words.nearest(name, names);
+            String near = SpellingSuggestions.nearest(name, names);
             faults.add(view.place(key), view.path(key), "there is nothing called `" + name + "` in " + among,
                 near != null ? "did you mean `" + near + "`?" : "one of " + String.join(", ", names));
             return null;
@@ -360,7 +360,7 @@
     private void unused(String key, Map<String, Set<String>> used, String wrong) {
         root.named(key).keySet().forEach(name -> {
             if (!used.getOrDefault(key, Set.of()).contains(name)) {
-                faults.add(root.namePlace(key, name), ShapeCheck.join(key, name), wrong, "remove it, or add a route");
+                faults.add(root.namePlace(key, name), SchemaValidator.join(key, name), wrong, "remove it, or add a route");
             }
         });
     }
--- a/src/main/java/onyxpaddle/config/ProcedureReader.java
+++ b/src/main/java/onyxpaddle/config/ProcedureReader.java
@@ -11,24 +11,24 @@
 
 /** Reads the procedures of a node's configuration, and finds what is wrong with them. */
 final class ProcedureReader {
-    private final View root;
+    private final ConfigView root;
     private final Faults faults;
 
-    ProcedureReader(View root, Faults faults) {
+    ProcedureReader(ConfigView root, Faults faults) {
         this.root = root;
         this.faults = faults;
     }
 
     List<Procedure> all(Map<String, Listener> listeners, Map<String, Set<String>> used) {
         List<Procedure> procedures = new ArrayList<>();
-        Map<Procedure, View> places = new HashMap<>();
+        Map<Procedure, ConfigView> places = new HashMap<>();
         Map<String, Place> names = new HashMap<>();
-        for (View view : root.items("procedures")) {
-            String name = view.text("name", Shape.Kind.NAME, null);
+        for (ConfigView view : root.items("procedures")) {
+            String name = view.text("name", Schema.Kind.NAME, null);
             String listener = NodeConfigReader.known(root, view, "listener", "listeners", used, faults);
             String pool = NodeConfigReader.known(root, view, "pool", "pools", used, faults);
             String requestClass = NodeConfigReader.known(root, view, "class", "classes", used, faults);
-            String pattern = view.text("procedure", Shape.Kind.PROCEDURE, null);
+            String pattern = view.text("procedure", Schema.Kind.PROCEDURE, null);
             if (listeners.containsKey(listener) && !listeners.get(listener).rpc()) {
                 faults.add(view.place("listener"), view.path("listener"), "callers of `" + listener
                     + "` speak HTTP, and this is a procedure of MessagePack-RPC",
@@ -41,7 +41,7 @@
             }
             if (name != null && listener != null && pool != null && requestClass != null && pattern != null) {
                 Procedure procedure = new Procedure(name, listener, pattern, pool, requestClass,
-                    view.text("path", Shape.Kind.PATH, null));
+                    view.text("path", Schema.Kind.PATH, null));
                 procedures.add(procedure);
                 places.put(procedure, view);
             }
--- a/src/main/java/onyxpaddle/config/ProtocolCheck.java
+++ b/src/main/java/onyxpaddle/config/ProtocolCheck.java
@@ -12,7 +12,7 @@
     }
 
     /** {@code known}: the pool's servers, as far as its files tell. */
-    static void check(NodeConfig config, Pool pool, View at, List<Server> known, Faults faults) {
+    static void check(NodeConfig config, Pool pool, ConfigView at, List<Server> known, Faults faults) {
         Route http = config.routes().stream().filter(r -> r.pool().equals(pool.name()) && r.procedure() == null).findFirst()
             .orElse(null);
         Procedure rpc = config.procedures().stream().filter(p -> p.pool().equals(pool.name()) && p.path() == null)
@@ -20,11 +20,11 @@
         String key = pool.file() != null ? "file" : "servers";
         for (Server server : known) {
             if (http != null && server.address() == null) {
-                faults.add(at.place(key), at.path(key), "the server " + server.told() + " does not speak HTTP, as the route `"
+                faults.add(at.place(key), at.path(key), "the server " + server.displayAddresses() + " does not speak HTTP, as the route `"
                     + http.name() + "` does", "its `address`, or a `procedure` for that route");
             }
             if (rpc != null && server.rpc() == null) {
-                faults.add(at.place(key), at.path(key), "the server " + server.told()
+                faults.add(at.place(key), at.path(key), "the server " + server.displayAddresses()
                     + " does not speak MessagePack-RPC, as the procedure `" + rpc.name() + "` does",
                     "its `rpc` address, or a `path` for that procedure");
             }
--- a/src/main/java/onyxpaddle/config/Shape.java
+++ b/src/main/java/onyxpaddle/config/Schema.java
@@ -6,7 +6,7 @@
  * What a file may hold: the one statement of its keys, from which the check of a file, the JSON Schema for editors and
  * the tables of the docs are made.
  */
-public sealed interface Shape {
+public sealed interface Schema {
     /** The kinds of plain values. */
     enum Kind {
         TEXT("text"),
@@ -38,54 +38,54 @@
         /** A host as in the Host header, without a port. */
         HOST("a host name, such as `records.svc`");
 
-        final String told;
+        final String description;
 
-        Kind(String told) {
-            this.told = told;
+        Kind(String description) {
+            this.description = description;
         }
     }
 
     /** A plain value; for numbers, spans (ns), sizes (B) and counts within these bounds. */
-    record Plain(Kind kind, List<String> words, double least, double most) implements Shape {
-        public Plain {
+    record ScalarSchema(Kind kind, List<String> words, double min, double max) implements Schema {
+        public ScalarSchema {
             words = List.copyOf(words);
         }
     }
 
-    record ListOf(Shape item, boolean mayBeEmpty) implements Shape {
+    record ListOf(Schema item, boolean mayBeEmpty) implements Schema {
     }
 
     /** Sections under names that the writer chooses. */
-    record MapOf(Kind name, Shape item, boolean mayBeEmpty) implements Shape {
+    record MapOf(Kind name, Schema item, boolean mayBeEmpty) implements Schema {
     }
 
-    record Section(List<Key> keys) implements Shape {
+    record Section(List<Key> keys) implements Schema {
         public Section {
             keys = List.copyOf(keys);
         }
     }
 
     /** A short form in plain text, or the long one. */
-    record ShortOr(Plain brief, Section full) implements Shape {
+    record ScalarOrSection(ScalarSchema scalar, Section section) implements Schema {
     }
 
-    /** {@code usual}: what holds where the key is absent, as text; null where there is no such value. */
-    record Key(String name, Shape shape, boolean required, String usual, String about) {
+    /** {@code defaultText}: what holds where the key is absent, as text; null where there is no such value. */
+    record Key(String name, Schema schema, boolean required, String defaultText, String description) {
     }
 
-    static Plain plain(Kind kind) {
-        return new Plain(kind, List.of(), -Double.MAX_VALUE, Double.MAX_VALUE);
+    static ScalarSchema plain(Kind kind) {
+        return new ScalarSchema(kind, List.of(), -Double.MAX_VALUE, Double.MAX_VALUE);
     }
 
-    static Plain within(Kind kind, double least, double most) {
-        return new Plain(kind, List.of(), least, most);
+    static ScalarSchema bounded(Kind kind, double min, double max) {
+        return new ScalarSchema(kind, List.of(), min, max);
     }
 
-    static Plain word(String... words) {
-        return new Plain(Kind.WORD, List.of(words), 0, 0);
+    static ScalarSchema word(String... words) {
+        return new ScalarSchema(Kind.WORD, List.of(words), 0, 0);
     }
 
-    static ListOf some(Shape item) {
+    static ListOf listOf(Schema item) {
         return new ListOf(item, false);
     }
 
@@ -93,11 +93,11 @@
         return new Section(List.of(keys));
     }
 
-    static Key required(String name, Shape shape, String about) {
-        return new Key(name, shape, true, null, about);
+    static Key required(String name, Schema schema, String description) {
+        return new Key(name, schema, true, null, description);
     }
 
-    static Key optional(String name, Shape shape, String usual, String about) {
-        return new Key(name, shape, false, usual, about);
+    static Key optional(String name, Schema schema, String defaultText, String description) {
+        return new Key(name, schema, false, defaultText, description);
     }
 }
--- a/src/main/java/onyxpaddle/config/ShapeCheck.java
+++ b/src/main/java/onyxpaddle/config/SchemaValidator.java
@@ -4,18 +4,18 @@
 import java.util.Locale;
 import java.util.Set;
 import java.util.regex.Pattern;
-import onyxpaddle.config.Shape.Key;
-import onyxpaddle.config.Shape.ListOf;
-import onyxpaddle.config.Shape.MapOf;
-import onyxpaddle.config.Shape.Plain;
-import onyxpaddle.config.Shape.Section;
-import onyxpaddle.config.Shape.ShortOr;
+import onyxpaddle.config.Schema.Key;
+import onyxpaddle.config.Schema.ListOf;
+import onyxpaddle.config.Schema.MapOf;
+import onyxpaddle.config.Schema.ScalarSchema;
+import onyxpaddle.config.Schema.Section;
+import onyxpaddle.config.Schema.ScalarOrSection;
 import onyxpaddle.config.Value.Mapping;
 import onyxpaddle.config.Value.Scalar;
 import onyxpaddle.config.Value.Sequence;
 
 /** Holds a tree against a shape. All that does not fit is a fault; what fits is usable whatever else is wrong. */
-public final class ShapeCheck {
+public final class SchemaValidator {
     private static final Pattern NAME = Pattern.compile("[a-z0-9](?:[a-z0-9-]{0,61}[a-z0-9])?");
     private static final Pattern PATH = Pattern.compile("/[!-~&&[^?#%]]{0,255}");
     private static final Pattern TOKEN = Pattern.compile("[!#$%&'*+.^_`|~0-9A-Za-z-]{1,64}");
@@ -30,16 +30,16 @@
 
     private final Faults faults;
 
-    private ShapeCheck(Faults faults) {
+    private SchemaValidator(Faults faults) {
         this.faults = faults;
     }
 
-    public static void check(Value value, Shape shape, Faults faults) {
-        new ShapeCheck(faults).any(value, shape);
+    public static void check(Value value, Schema shape, Faults faults) {
+        new SchemaValidator(faults).any(value, shape);
     }
 
-    private void any(Value value, Shape shape) {
-        if (shape instanceof Plain plain) {
+    private void any(Value value, Schema shape) {
+        if (shape instanceof ScalarSchema plain) {
             plain(value, plain);
         } else if (shape instanceof ListOf list) {
             list(value, list);
@@ -47,8 +47,8 @@
             map(value, map);
         } else if (shape instanceof Section section) {
             section(value, section);
-        } else if (shape instanceof ShortOr either) {
-            any(value, value instanceof Mapping ? either.full() : either.brief());
+        } else if (shape instanceof ScalarOrSection either) {
+            any(value, value instanceof Mapping ? either.section() : either.scalar());
         }
     }
 
@@ -80,9 +80,9 @@
             fault(value, "names nothing", "name at least one");
         }
         mapping.keys().forEach((name, place) -> {
-            String wrong = wrong(name, Shape.plain(map.name()));
+            String wrong = wrong(name, Schema.plain(map.name()));
             if (wrong != null) {
-                faults.add(place, join(value.path(), name), "the name " + wrong, map.name().told);
+                faults.add(place, join(value.path(), name), "the name " + wrong, map.name().description);
             }
             if (mapping.values().get(name) != null) {
                 any(mapping.values().get(name), map.item());
@@ -105,16 +105,16 @@
                 faults.add(place, join(mapping.path(), name), "unknown key",
                     near == null ? "keys here: " + names(section) : "did you mean `" + near + "`?");
             } else if (mapping.values().get(name) instanceof Scalar scalar && scalar.blank()
-                    && !(key.shape() instanceof Section)) {
+                    && !(key.schema() instanceof Section)) {
                 faults.add(place, join(mapping.path(), name), "says nothing",
-                    key.required() ? told(key.shape()) : told(key.shape()) + ", or leave the key out");
+                    key.required() ? describe(key.schema()) : describe(key.schema()) + ", or leave the key out");
             } else if (mapping.values().get(name) != null) {
-                any(mapping.values().get(name), key.shape());
+                any(mapping.values().get(name), key.schema());
             }
         });
         for (Key key : section.keys()) {
             if (key.required() && !mapping.keys().containsKey(key.name())) {
-                fault(mapping, "`" + key.name() + "` is missing", "`" + key.name() + ":` " + told(key.shape()));
+                fault(mapping, "`" + key.name() + "` is missing", "`" + key.name() + ":` " + describe(key.schema()));
             }
         }
     }
@@ -129,9 +129,9 @@
 
     // ---- plain values ----
 
-    private void plain(Value value, Plain plain) {
+    private void plain(Value value, ScalarSchema plain) {
         if (!(value instanceof Scalar scalar)) {
-            fault(value, "is " + value.kind(), told(plain));
+            fault(value, "is " + value.kind(), describe(plain));
             return;
         }
         String wrong = wrong(scalar.text(), plain);
@@ -141,7 +141,7 @@
     }
 
     /** What is wrong with a text as a value of this kind; null where it is sound. */
-    static String wrong(String text, Plain plain) {
+    static String wrong(String text, ScalarSchema plain) {
         String shown = new Scalar(null, "", text, true).kind();
         if (text.length() > LONGEST_TEXT) {
             return "is " + text.length() + " characters long";
@@ -152,14 +152,14 @@
             case LABEL -> NAME.matcher(text).matches() && text.length() <= 30 && !text.contains("--") ? null : "is no name: " + shown;
             case WORD -> plain.words().contains(text) ? null : "unknown word " + shown;
             case PORT -> bounded(text, WHOLE, 1, 65535, shown, "port");
-            case COUNT -> bounded(text, WHOLE, plain.least(), plain.most(), shown, "whole number");
-            case NUMBER -> bounded(text, NUMBER, plain.least(), plain.most(), shown, "number");
+            case COUNT -> bounded(text, WHOLE, plain.min(), plain.max(), shown, "whole number");
+            case NUMBER -> bounded(text, NUMBER, plain.min(), plain.max(), shown, "number");
             case ADDRESS -> HostPort.parse(text) == null ? "is no address: " + shown : null;
             case IP -> Ip.parse(text) == null ? "is no IP address: " + shown : null;
             case PREFIX -> Ip.prefix(text) == null ? "is no prefix, or has bits behind its length: " + shown : null;
             case COMMUNITY -> Ip.community(text) == null ? "is no community: " + shown : null;
-            case SPAN -> amount(Units.span(text), plain, shown, "time");
-            case SIZE -> amount(Units.size(text), plain, shown, "size");
+            case SPAN -> amount(Units.parseSpan(text), plain, shown, "time");
+            case SIZE -> amount(Units.parseSize(text), plain, shown, "size");
             case FLAG -> text.equals("true") || text.equals("false") ? null : "is neither true nor false: " + shown;
             case PATH -> PATH.matcher(text).matches() && !dotted(text) ? null : "is no path: " + shown;
             case METHOD -> METHODS.contains(text) ? null : "is no method: " + shown;
@@ -183,54 +183,54 @@
         return number < least ? "is too small: " + shown : number > most ? "is too large: " + shown : null;
     }
 
-    private static String amount(long amount, Plain plain, String shown, String what) {
+    private static String amount(long amount, ScalarSchema plain, String shown, String what) {
         if (amount < 0) {
             return "is no " + what + " with a unit: " + shown;
         }
-        return amount < plain.least() ? "is too small: " + shown : amount > plain.most() ? "is too large: " + shown : null;
+        return amount < plain.min() ? "is too small: " + shown : amount > plain.max() ? "is too large: " + shown : null;
     }
 
-    private static String hint(String text, Plain plain) {
-        if (WHOLE.matcher(text).matches() && plain.kind() == Shape.Kind.SPAN) {
-            return "a unit: `" + text + " ms` or `" + text + " s`? " + told(plain);
+    private static String hint(String text, ScalarSchema plain) {
+        if (WHOLE.matcher(text).matches() && plain.kind() == Schema.Kind.SPAN) {
+            return "a unit: `" + text + " ms` or `" + text + " s`? " + describe(plain);
         }
-        if (WHOLE.matcher(text).matches() && plain.kind() == Shape.Kind.SIZE) {
-            return "a unit: `" + text + " KiB` or `" + text + " B`? " + told(plain);
+        if (WHOLE.matcher(text).matches() && plain.kind() == Schema.Kind.SIZE) {
+            return "a unit: `" + text + " KiB` or `" + text + " B`? " + describe(plain);
         }
-        if (plain.kind() == Shape.Kind.METHOD && METHODS.contains(text.toUpperCase(Locale.ROOT))) {
+        if (plain.kind() == Schema.Kind.METHOD && METHODS.contains(text.toUpperCase(Locale.ROOT))) {
             return "did you mean `" + text.toUpperCase(Locale.ROOT) + "`?";
         }
-        if (plain.kind() == Shape.Kind.WORD) {
-            String near = Words.nearest(text, plain.words());
-            return (near == null ? "" : "did you mean `" + near + "`? ") + told(plain);
+        if (plain.kind() == Schema.Kind.WORD) {
+            String near = SpellingSuggestions.nearest(text, plain.words());
+            return (near == null ? "" : "did you mean `" + near + "`? ") + describe(plain);
         }
-        return told(plain);
+        return describe(plain);
     }
 
-    static String told(Shape shape) {
-        if (shape instanceof Plain plain) {
-            if (plain.kind() == Shape.Kind.WORD) {
+    static String describe(Schema shape) {
+        if (shape instanceof ScalarSchema plain) {
+            if (plain.kind() == Schema.Kind.WORD) {
                 return "one of " + String.join(", ", plain.words());
             }
-            return plain.kind().told + bounds(plain);
+            return plain.kind().description + bounds(plain);
         }
-        return shape instanceof ListOf list ? "a list; each: " + told(list.item())
-            : shape instanceof ShortOr either ? told(either.brief()) + ", or its section"
+        return shape instanceof ListOf list ? "a list; each: " + describe(list.item())
+            : shape instanceof ScalarOrSection either ? describe(either.scalar()) + ", or its section"
             : shape instanceof MapOf ? "sections under names" : "a section";
     }
 
-    private static String bounds(Plain plain) {
-        if (plain.least() == -Double.MAX_VALUE) {
+    private static String bounds(ScalarSchema plain) {
+        if (plain.min() == -Double.MAX_VALUE) {
             return "";
         }
-        return " from " + amountText(plain, plain.least()) + (plain.most() < Double.MAX_VALUE
-            ? " to " + amountText(plain, plain.most()) : " on");
+        return " from " + amountText(plain, plain.min()) + (plain.max() < Double.MAX_VALUE
+            ? " to " + amountText(plain, plain.max()) : " on");
     }
 
-    private static String amountText(Plain plain, double amount) {
+    private static String amountText(ScalarSchema plain, double amount) {
         return switch (plain.kind()) {
-            case SPAN -> Units.spanText((long) amount);
-            case SIZE -> Units.sizeText((long) amount);
+            case SPAN -> Units.formatSpan((long) amount);
+            case SIZE -> Units.formatSize((long) amount);
             default -> amount == Math.rint(amount) ? Long.toString((long) amount) : Double.toString(amount);
         };
     }
@@ -238,6 +238,6 @@
     // ---- the nearest word ----
 
     private static String nearest(String name, Section section) {
-        return Words.nearest(name, section.keys().stream().map(Key::name).toList());
+        return SpellingSuggestions.nearest(name, section.keys().stream().map(Key::name).toList());
     }
 }
--- a/src/main/java/onyxpaddle/config/ServerLists.java
+++ b/src/main/java/onyxpaddle/config/ServerListReader.java
@@ -8,17 +8,17 @@
 import onyxpaddle.config.NodeConfig.Server;
 
 /** Reads lists of servers: those in a configuration, and list files. */
-public final class ServerLists {
-    private ServerLists() {
+public final class ServerListReader {
+    private ServerListReader() {
     }
 
     /** The servers under a key, without duplicates of id or address, which are faults. */
-    public static List<Server> read(View at, String key, Faults faults) {
+    public static List<Server> read(ConfigView at, String key, Faults faults) {
         List<Server> servers = new ArrayList<>();
         Map<String, Place> ids = new HashMap<>();
         Map<HostPort, Place> addresses = new HashMap<>();
-        for (View item : at.items(key)) {
-            String text = item.self(Shape.Kind.ADDRESS);
+        for (ConfigView item : at.items(key)) {
+            String text = item.self(Schema.Kind.ADDRESS);
             HostPort address = item.isSection() ? item.address("address") : text == null ? null : HostPort.parse(text);
             HostPort rpc = item.address("rpc");
             if (address == null && rpc == null) {
@@ -28,8 +28,8 @@
                 }
                 continue;
             }
-            Server server = new Server(item.text("id", Shape.Kind.TEXT, (address != null ? address : rpc).toString()),
-                address, item.number("weight", 1), item.text("zone", Shape.Kind.NAME, ""),
+            Server server = new Server(item.text("id", Schema.Kind.TEXT, (address != null ? address : rpc).toString()),
+                address, item.number("weight", 1), item.text("zone", Schema.Kind.NAME, ""),
                 item.word("state", "ready", "ready", "draining").equals("draining"), rpc);
             if (reachable(server, item, faults) && !twice(server, item, ids, addresses, faults)) {
                 servers.add(server);
@@ -38,7 +38,7 @@
         return servers;
     }
 
-    private static boolean reachable(Server server, View item, Faults faults) {
+    private static boolean reachable(Server server, ConfigView item, Faults faults) {
         for (HostPort address : server.addresses()) {
             if (address.port() == 0 || address.any()) {
                 faults.add(item.place(), item.path(), "nothing can be reached at " + address,
@@ -49,7 +49,7 @@
         return true;
     }
 
-    private static boolean twice(Server server, View item, Map<String, Place> ids, Map<HostPort, Place> addresses,
+    private static boolean twice(Server server, ConfigView item, Map<String, Place> ids, Map<HostPort, Place> addresses,
             Faults faults) {
         Place first = ids.putIfAbsent(server.id(), item.place());
         String what = server.id();
@@ -77,7 +77,7 @@
     }
 
     /** As {@link #file}, for the section that names it, which is told of if the list is at fault. */
-    public static List<Server> named(View at, Path file, Faults faults) {
+    public static List<Server> named(ConfigView at, Path file, Faults faults) {
         List<Server> servers = file(file, faults);
         if (servers == null) {
             faults.add(at.place("file"), at.path("file"), "the list file " + file.getFileName() + " can't be taken",
@@ -96,8 +96,8 @@
         } else {
             Value value = SourceFile.parse(name, text, own);
             if (value != null) {
-                ShapeCheck.check(value, NodeShape.LIST_FILE, own);
-                View view = new View(value);
+                SchemaValidator.check(value, NodeSchema.LIST_FILE, own);
+                ConfigView view = new ConfigView(value);
                 servers = read(view, "servers", own);
                 int count = view.count("count", -1);
                 if (count >= 0 && count != servers.size() && !own.any()) {
--- a/src/main/java/onyxpaddle/config/SourceFile.java
+++ b/src/main/java/onyxpaddle/config/SourceFile.java
@@ -15,7 +15,7 @@
 /** Reads a file of ours: at most 1 MiB of UTF-8. Whatever keeps it from being read is a fault, never an exception. */
 public final class SourceFile {
     /** Descriptions and configurations have some KB. */
-    public static final int LARGEST = 1 << 20;
+    public static final int MAX_BYTES = 1 << 20;
 
     private SourceFile() {
     }
@@ -47,7 +47,7 @@
                 return null;
             }
             try (InputStream in = Files.newInputStream(file)) {
-                bytes = in.readNBytes(LARGEST + 1);
+                bytes = in.readNBytes(MAX_BYTES + 1);
             }
         } catch (NoSuchFileException e) {
             faults.add(place, "", "there is no such file", "check the name");
@@ -65,7 +65,7 @@
             faults.add(place, "", "cannot be read: " + e.getMessage(), "check the file and its folder");
             return null;
         }
-        if (bytes.length > LARGEST) {
+        if (bytes.length > MAX_BYTES) {
             faults.add(place, "", "is larger than 1 MiB", "a description has some KB; is it the right file?");
             return null;
         }
--- a/src/main/java/onyxpaddle/config/Words.java
+++ b/src/main/java/onyxpaddle/config/SpellingSuggestions.java
@@ -5,8 +5,8 @@
 import java.util.Locale;
 
 /** Finds the word that somebody meant. */
-public final class Words {
-    private Words() {
+public final class SpellingSuggestions {
+    private SpellingSuggestions() {
     }
 
     /** The word that is the fewest slips away, if it is near enough to have been meant; null otherwise. */
--- a/src/main/java/onyxpaddle/config/Units.java
+++ b/src/main/java/onyxpaddle/config/Units.java
@@ -11,12 +11,12 @@
     }
 
     /** A span in nanoseconds, or -1 where the text is none; units: us, ms, s, min, h. */
-    public static long span(String text) {
+    public static long parseSpan(String text) {
         return amount(text, true);
     }
 
     /** A size in bytes, or -1 where the text is none; units: B, KiB, MiB, GiB. */
-    public static long size(String text) {
+    public static long parseSize(String text) {
         return amount(text, false);
     }
 
@@ -51,7 +51,7 @@
     }
 
     /** A span in the largest unit that gives a whole number. */
-    public static String spanText(long nanos) {
+    public static String formatSpan(long nanos) {
         String[] names = {"h", "min", "s", "ms", "us"};
         for (String name : names) {
             long unit = spanUnit(name);
@@ -63,7 +63,7 @@
     }
 
     /** A size in the largest unit that gives a whole number. */
-    public static String sizeText(long bytes) {
+    public static String formatSize(long bytes) {
         String[] names = {"GiB", "MiB", "KiB"};
         for (String name : names) {
             long unit = sizeUnit(name);
--- a/src/main/java/onyxpaddle/control/ChangeValidator.java
+++ b/src/main/java/onyxpaddle/control/ChangeValidator.java
@@ -3,12 +3,12 @@
 import java.util.Collection;
 import java.util.stream.Collectors;
 import onyxpaddle.config.Faults;
-import onyxpaddle.config.NodeShape;
+import onyxpaddle.config.NodeSchema;
 import onyxpaddle.config.Place;
-import onyxpaddle.config.Shape;
-import onyxpaddle.config.Shape.Key;
-import onyxpaddle.config.Shape.MapOf;
-import onyxpaddle.config.ShapeCheck;
+import onyxpaddle.config.Schema;
+import onyxpaddle.config.Schema.Key;
+import onyxpaddle.config.Schema.MapOf;
+import onyxpaddle.config.SchemaValidator;
 import onyxpaddle.config.SourceFile;
 import onyxpaddle.config.Value;
 import onyxpaddle.config.Value.Scalar;
@@ -29,33 +29,33 @@
 
     private static void validate(Change change, Faults faults) {
         String name = change.key().toString();
-        Shape shape = shape(change.key(), faults);
+        Schema shape = shape(change.key(), faults);
         if (shape == null || change.value() == null) {
             return;
         }
         Value value = SourceFile.parse(name, change.value(), faults);
         // A value of `null` removes the section that the node's file or a wider scope defines.
         if (value != null && !(value instanceof Scalar scalar && scalar.blank())) {
-            ShapeCheck.check(value, shape, faults);
+            SchemaValidator.check(value, shape, faults);
         }
     }
 
-    private static Shape shape(EntryKey key, Faults faults) {
+    private static Schema shape(EntryKey key, Faults faults) {
         Place place = Place.of(key.toString());
         String top = key.topKey();
         if (EntryKey.NODE_LOCAL_KEYS.contains(top)) {
             faults.add(place, top, "is local to each node and not distributed", "set it in the node's file");
             return null;
         }
-        Key found = NodeShape.NODE.keys().stream().filter(each -> each.name().equals(top)).findFirst().orElse(null);
+        Key found = NodeSchema.NODE.keys().stream().filter(each -> each.name().equals(top)).findFirst().orElse(null);
         if (found == null) {
             faults.add(place, top, "is not a key of a node's configuration", "one of " + distributableKeys());
             return null;
         }
         if (key.sectionName() == null) {
-            return found.shape();
+            return found.schema();
         }
-        if (found.shape() instanceof MapOf map) {
+        if (found.schema() instanceof MapOf map) {
             return map.item();
         }
         faults.add(place, top, "has no named sections", "`" + top + "` as a whole");
@@ -63,7 +63,7 @@
     }
 
     private static String distributableKeys() {
-        return NodeShape.NODE.keys().stream().map(Key::name).filter(name -> !EntryKey.NODE_LOCAL_KEYS.contains(name))
+        return NodeSchema.NODE.keys().stream().map(Key::name).filter(name -> !EntryKey.NODE_LOCAL_KEYS.contains(name))
             .collect(Collectors.joining(", "));
     }
 }
--- a/src/main/java/onyxpaddle/drill/Boxes.java
+++ b/src/main/java/onyxpaddle/drill/Boxes.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 import onyxpaddle.drill.Drill.BoxKind;
 import onyxpaddle.drill.Event.What;
-import onyxpaddle.standin.Ledger;
+import onyxpaddle.standin.ExecutionCounter;
 import onyxpaddle.standin.StandInServer;
 
 /** The boxes of all sites, and what lists should say of them. */
@@ -31,12 +31,12 @@
             server = new StandInServer(name, 0, ledger).delay(kind.takesMs(), kind.jitterMs()).slots(kind.atOnce(), kind.queue(), kind.drops())
                 .watcher(new StandInServer.Watcher() {
                     @Override
-                    public void came(String effect, SocketAddress from) {
+                    public void requestReceived(String effect, SocketAddress from) {
                         history.add(What.CAME, "id", String.valueOf(effect), "box", name, "node", callers.getOrDefault(from, "unknown"));
                     }
 
                     @Override
-                    public void ran(String effect) {
+                    public void requestExecuted(String effect) {
                         history.add(What.RAN, "id", String.valueOf(effect), "box", name);
                     }
                 });
@@ -47,7 +47,7 @@
 
     private final BoxKind kind;
     private final History history;
-    private final Ledger ledger = new Ledger();
+    private final ExecutionCounter ledger = new ExecutionCounter();
     private final Map<String, Box> all = new LinkedHashMap<>();
     /** Which node each connection to a box comes from. */
     final Map<SocketAddress, String> callers = new ConcurrentHashMap<>();
--- a/src/main/java/onyxpaddle/drill/DrillReader.java
+++ b/src/main/java/onyxpaddle/drill/DrillReader.java
@@ -1,11 +1,11 @@
 package onyxpaddle.drill;
 
-import static onyxpaddle.config.Shape.optional;
-import static onyxpaddle.config.Shape.plain;
-import static onyxpaddle.config.Shape.required;
-import static onyxpaddle.config.Shape.section;
-import static onyxpaddle.config.Shape.some;
-import static onyxpaddle.config.Shape.within;
+import static onyxpaddle.config.Schema.optional;
+import static onyxpaddle.config.Schema.plain;
+import static onyxpaddle.config.Schema.required;
+import static onyxpaddle.config.Schema.section;
+import static onyxpaddle.config.Schema.listOf;
+import static onyxpaddle.config.Schema.bounded;
 
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -16,14 +16,14 @@
 import java.util.TreeMap;
 import java.util.stream.Stream;
 import onyxpaddle.config.Faults;
-import onyxpaddle.config.Shape;
-import onyxpaddle.config.Shape.Kind;
-import onyxpaddle.config.Shape.MapOf;
-import onyxpaddle.config.Shape.Section;
-import onyxpaddle.config.ShapeCheck;
+import onyxpaddle.config.Schema;
+import onyxpaddle.config.Schema.Kind;
+import onyxpaddle.config.Schema.MapOf;
+import onyxpaddle.config.Schema.Section;
+import onyxpaddle.config.SchemaValidator;
 import onyxpaddle.config.SourceFile;
 import onyxpaddle.config.Value;
-import onyxpaddle.config.View;
+import onyxpaddle.config.ConfigView;
 import onyxpaddle.drill.Drill.BoxKind;
 import onyxpaddle.drill.Drill.Cut;
 import onyxpaddle.drill.Drill.Effect;
@@ -42,67 +42,67 @@
     private static final int MOST_BOXES = 10_000;
 
     private static final Section SITE = section(
-        required("nodes", within(Kind.COUNT, 1, MOST_NODES), "node processes"),
-        required("boxes", within(Kind.COUNT, 1, MOST_BOXES), "boxes that serve"),
-        optional("share", within(Kind.NUMBER, 0, 1000), "1", "its part of the load, against the other sites'"));
+        required("nodes", bounded(Kind.COUNT, 1, MOST_NODES), "node processes"),
+        required("boxes", bounded(Kind.COUNT, 1, MOST_BOXES), "boxes that serve"),
+        optional("share", bounded(Kind.NUMBER, 0, 1000), "1", "its part of the load, against the other sites'"));
     private static final Section BOXES = section(
-        optional("at-once", within(Kind.COUNT, 1, 1000), "4", "requests that a box works on at once"),
-        optional("takes", within(Kind.SPAN, 0, 10 * S), "10 ms", "how long it works on one"),
-        optional("jitter", within(Kind.SPAN, 0, 10 * S), "0 ms", "and up to so much more"),
-        optional("queue", within(Kind.COUNT, 0, 100_000), "50", "requests that wait; further ones are turned away unseen"),
+        optional("at-once", bounded(Kind.COUNT, 1, 1000), "4", "requests that a box works on at once"),
+        optional("takes", bounded(Kind.SPAN, 0, 10 * S), "10 ms", "how long it works on one"),
+        optional("jitter", bounded(Kind.SPAN, 0, 10 * S), "0 ms", "and up to so much more"),
+        optional("queue", bounded(Kind.COUNT, 0, 100_000), "50", "requests that wait; further ones are turned away unseen"),
         optional("drops", plain(Kind.FLAG), "true", "whether one whose caller has gone while it waited is dropped, or worked on all the same"),
-        optional("cold", within(Kind.SPAN, 0, 600 * S), "0 s", "how long it is cold after its start"),
-        optional("cold-from", within(Kind.NUMBER, 0.01, 1), "0.3", "the part of its capacity that it starts with"));
+        optional("cold", bounded(Kind.SPAN, 0, 600 * S), "0 s", "how long it is cold after its start"),
+        optional("cold-from", bounded(Kind.NUMBER, 0.01, 1), "0.3", "the part of its capacity that it starts with"));
     private static final Section NODES = section(
-        optional("attempts", within(Kind.COUNT, 1, 10), "3", "that a request may have"),
+        optional("attempts", bounded(Kind.COUNT, 1, 10), "3", "that a request may have"),
         optional("second-copies", plain(Kind.FLAG), "true", "whether a safe request that overstays may be sent once more"),
-        optional("drain-grace", within(Kind.SPAN, 0, 60 * S), "2 s", "after which nothing new goes to a box that drains"),
-        optional("cold-multiple", within(Kind.NUMBER, 1, 100), "3", "of a cold box's present capacity, that it may be sent"),
-        optional("cold-window", within(Kind.SPAN, 100 * MS, 60 * S), "2 s", "the time over which that is counted"),
+        optional("drain-grace", bounded(Kind.SPAN, 0, 60 * S), "2 s", "after which nothing new goes to a box that drains"),
+        optional("cold-multiple", bounded(Kind.NUMBER, 1, 100), "3", "of a cold box's present capacity, that it may be sent"),
+        optional("cold-window", bounded(Kind.SPAN, 100 * MS, 60 * S), "2 s", "the time over which that is counted"),
         optional("plan", plain(Kind.FLAG), "false", "whether they have a plan for the loss of sites, made from this file"));
     private static final Section LISTS = section(
-        optional("lost", within(Kind.SPAN, 0, 60 * S), "2 s", "until lists say that a box is gone"),
-        optional("back", within(Kind.SPAN, 0, 60 * S), "1 s", "until they say that it is back"));
+        optional("lost", bounded(Kind.SPAN, 0, 60 * S), "2 s", "until lists say that a box is gone"),
+        optional("back", bounded(Kind.SPAN, 0, 60 * S), "1 s", "until they say that it is back"));
     private static final Section LOAD = section(
         required("class", plain(Kind.NAME), "its name"),
-        required("per-second", within(Kind.NUMBER, 0.1, 100_000), "over all sites"),
-        optional("effect", Shape.word("safe", "unsafe"), "unsafe", "what repeating one may do"),
-        optional("aim", within(Kind.SPAN, MS, 60 * S), "300 ms", "the time within which an answer is worth something"),
-        optional("deadline", within(Kind.SPAN, MS, 60 * S), "1 s", "how long clients wait"),
-        optional("worth", within(Kind.NUMBER, 0, 1000), "1", "of one that is answered within its aim"),
-        optional("retries", within(Kind.COUNT, 0, 10), "0", "by clients that were refused or failed, under new ids"),
-        optional("floor", within(Kind.NUMBER, 0, 1), "0", "the part that a plan serves before any worth is weighed"));
+        required("per-second", bounded(Kind.NUMBER, 0.1, 100_000), "over all sites"),
+        optional("effect", Schema.word("safe", "unsafe"), "unsafe", "what repeating one may do"),
+        optional("aim", bounded(Kind.SPAN, MS, 60 * S), "300 ms", "the time within which an answer is worth something"),
+        optional("deadline", bounded(Kind.SPAN, MS, 60 * S), "1 s", "how long clients wait"),
+        optional("worth", bounded(Kind.NUMBER, 0, 1000), "1", "of one that is answered within its aim"),
+        optional("retries", bounded(Kind.COUNT, 0, 10), "0", "by clients that were refused or failed, under new ids"),
+        optional("floor", bounded(Kind.NUMBER, 0, 1), "0", "the part that a plan serves before any worth is weighed"));
     private static final Section FAULT = section(
-        optional("at", within(Kind.SPAN, 0, 3600 * S), "0 s", "when it begins; after `after-served`, where that is given"),
-        optional("after-served", within(Kind.COUNT, 1, 10_000_000), "none", "begins once so many requests have been served"),
-        optional("for", within(Kind.SPAN, 0, 3600 * S), "0 s", "how long it lasts"),
+        optional("at", bounded(Kind.SPAN, 0, 3600 * S), "0 s", "when it begins; after `after-served`, where that is given"),
+        optional("after-served", bounded(Kind.COUNT, 1, 10_000_000), "none", "begins once so many requests have been served"),
+        optional("for", bounded(Kind.SPAN, 0, 3600 * S), "0 s", "how long it lasts"),
         optional("kill", plain(Kind.TEXT), "none", "a node, such as `north/2`: killed, and started from nothing afterwards"),
         optional("stop", plain(Kind.TEXT), "none", "a node: stands still, then goes on"),
         optional("lose", plain(Kind.TEXT), "none", "a site: nodes killed, boxes silent; both start from nothing, boxes cold"),
-        optional("cut", some(plain(Kind.TEXT)), "none", "two sites: the links from nodes of the first to boxes of the second"),
-        optional("how", Shape.word("silent", "one-way", "silent-then-reset", "refused", "delayed", "slow"), "silent", "how links are cut"),
+        optional("cut", listOf(plain(Kind.TEXT)), "none", "two sites: the links from nodes of the first to boxes of the second"),
+        optional("how", Schema.word("silent", "one-way", "silent-then-reset", "refused", "delayed", "slow"), "silent", "how links are cut"),
         optional("drain", plain(Kind.TEXT), "none", "a box, such as `north/s1`: listed as draining"),
         optional("freeze", plain(Kind.TEXT), "none", "a box: stands still"),
         optional("restart", plain(Kind.TEXT), "none", "a box: starts anew, cold"),
-        optional("push", within(Kind.NUMBER, 0, 100), "none", "times the load"),
+        optional("push", bounded(Kind.NUMBER, 0, 100), "none", "times the load"),
         optional("hush", plain(Kind.FLAG), "false", "lists stand still"),
-        optional("size", within(Kind.NUMBER, 0, 1_000_000), "0", "of a cut: ms of delay, or KiB a second"));
+        optional("size", bounded(Kind.NUMBER, 0, 1_000_000), "0", "of a cut: ms of delay, or KiB a second"));
     static final Section ALL = section(
-        required("version", within(Kind.COUNT, 1, 1), "of this form"),
+        required("version", bounded(Kind.COUNT, 1, 1), "of this form"),
         required("name", plain(Kind.NAME), "of the drill"),
-        optional("seed", within(Kind.COUNT, 0, 1e15), "1", "one seed gives one schedule of arrivals and choices"),
-        optional("lasts", within(Kind.SPAN, S, 3600 * S), "10 s", "how long the load lasts"),
+        optional("seed", bounded(Kind.COUNT, 0, 1e15), "1", "one seed gives one schedule of arrivals and choices"),
+        optional("lasts", bounded(Kind.SPAN, S, 3600 * S), "10 s", "how long the load lasts"),
         required("sites", new MapOf(Kind.NAME, SITE, false), "where nodes and boxes stand"),
         optional("boxes", BOXES, "as below", "what each box can do"),
         optional("nodes", NODES, "as below", "what each node is told"),
         optional("lists", LISTS, "as below", "how late lists are"),
-        required("load", some(LOAD), "what clients ask"),
-        optional("faults", some(FAULT), "none", "what goes wrong"));
+        required("load", listOf(LOAD), "what clients ask"),
+        optional("faults", listOf(FAULT), "none", "what goes wrong"));
 
-    private final View root;
+    private final ConfigView root;
     private final Faults faults;
 
-    private DrillReader(View root, Faults faults) {
+    private DrillReader(ConfigView root, Faults faults) {
         this.root = root;
         this.faults = faults;
     }
@@ -119,8 +119,8 @@
         if (value == null) {
             return null;
         }
-        ShapeCheck.check(value, ALL, faults);
-        Drill drill = new DrillReader(new View(value), faults).all();
+        SchemaValidator.check(value, ALL, faults);
+        Drill drill = new DrillReader(new ConfigView(value), faults).all();
         return faults.any() ? null : drill;
     }
 
@@ -134,11 +134,11 @@
         if (!sites.isEmpty() && sites.values().stream().allMatch(s -> s.share() == 0)) {
             faults.add(root.place("sites"), "sites", "no site has a part of the load", "`share:` above 0 for one of them");
         }
-        View boxes = root.section("boxes");
-        View nodes = root.section("nodes");
-        View lists = root.section("lists");
+        ConfigView boxes = root.section("boxes");
+        ConfigView nodes = root.section("nodes");
+        ConfigView lists = root.section("lists");
         List<LoadClass> load = new ArrayList<>();
-        for (View view : root.items("load")) {
+        for (ConfigView view : root.items("load")) {
             load.add(loadClass(view, load));
         }
         List<Fault> all = new ArrayList<>();
@@ -151,7 +151,7 @@
             new Lists(ms(lists, "lost", 2_000), ms(lists, "back", 1_000)), load, all.stream().filter(f -> f != null).toList());
     }
 
-    private LoadClass loadClass(View view, List<LoadClass> before) {
+    private LoadClass loadClass(ConfigView view, List<LoadClass> before) {
         String name = view.text("class", Kind.NAME, "");
         if (before.stream().anyMatch(c -> c.name().equals(name))) {
             faults.add(view.place("class"), view.path("class"), "`" + name + "` is there already", "each class once");
@@ -165,7 +165,7 @@
             view.number("per-second", 1), aim, deadline, view.number("worth", 1), view.count("retries", 0), view.number("floor", 0));
     }
 
-    private Fault fault(View view, Map<String, Site> sites) {
+    private Fault fault(ConfigView view, Map<String, Site> sites) {
         List<Drill.Kind> kinds = Stream.of(Drill.Kind.values()).filter(k -> view.has(word(k))).toList();
         if (kinds.size() != 1) {
             faults.add(view.place(), view.path(), kinds.isEmpty() ? "says of nothing that it fails" : "says more than one thing",
@@ -218,7 +218,7 @@
         return kind.name().toLowerCase(Locale.ROOT);
     }
 
-    private static long ms(View view, String key, long usual) {
+    private static long ms(ConfigView view, String key, long usual) {
         return view.span(key, usual * (long) MS) / (long) MS;
     }
 }
--- a/src/main/java/onyxpaddle/measure/BgpMeasurement.java
+++ b/src/main/java/onyxpaddle/measure/BgpMeasurement.java
@@ -114,7 +114,7 @@
                     TimeUnit.MILLISECONDS.sleep(5);
                 }
                 for (StandInBgpPeer router : routers) {
-                    router.breakOff();
+                    router.closeSession();
                 }
             }
         } catch (InterruptedException e) {
--- a/src/main/java/onyxpaddle/measure/MixedTraffic.java
+++ b/src/main/java/onyxpaddle/measure/MixedTraffic.java
@@ -16,7 +16,7 @@
 import java.util.concurrent.atomic.AtomicLong;
 import onyxpaddle.standin.FaultScript;
 import onyxpaddle.standin.FaultScript.Fault;
-import onyxpaddle.standin.Ledger;
+import onyxpaddle.standin.ExecutionCounter;
 import onyxpaddle.standin.RpcCaller;
 import onyxpaddle.standin.StandInRpcServer;
 import onyxpaddle.standin.StandInServer;
@@ -82,7 +82,7 @@
     private final long seed;
     private final List<StandInServer> https = new ArrayList<>();
     private final List<StandInRpcServer> rpcs = new ArrayList<>();
-    private final List<Ledger> ledgers = new ArrayList<>();
+    private final List<ExecutionCounter> ledgers = new ArrayList<>();
     private final AtomicLong[] counts = new AtomicLong[4];
     private final AtomicLong names = new AtomicLong();
     private volatile boolean go = true;
@@ -92,13 +92,13 @@
         this.seed = seed;
         Arrays.setAll(counts, i -> new AtomicLong());
         for (int i = 0; i < BOXES; i++) {
-            Ledger ledger = new Ledger();
+            ExecutionCounter ledger = new ExecutionCounter();
             ledgers.add(ledger);
             https.add(new StandInServer("box" + i, 0, ledger).delay(4, 8));
             rpcs.add(new StandInRpcServer("box" + i, 0, ledger).delay(4, 8));
         }
-        https.get(1).faults(FaultScript.drawn(seed, 0, Map.of(Fault.LOSE_REPLY, LOST)));
-        rpcs.get(1).faults(FaultScript.drawn(seed + 1, 0, Map.of(Fault.LOSE_REPLY, LOST)));
+        https.get(1).faults(FaultScript.random(seed, 0, Map.of(Fault.LOSE_REPLY, LOST)));
+        rpcs.get(1).faults(FaultScript.random(seed + 1, 0, Map.of(Fault.LOSE_REPLY, LOST)));
     }
 
     /** The boxes as they stand in a list. */
@@ -166,7 +166,7 @@
     }
 
     private long served() {
-        return ledgers.stream().mapToLong(Ledger::served).sum();
+        return ledgers.stream().mapToLong(ExecutionCounter::served).sum();
     }
 
     private long bookings(boolean twice) {
--- a/src/main/java/onyxpaddle/measure/RpcMeasurement.java
+++ b/src/main/java/onyxpaddle/measure/RpcMeasurement.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicLong;
 import onyxpaddle.measure.Load.Result;
-import onyxpaddle.standin.Ledger;
+import onyxpaddle.standin.ExecutionCounter;
 import onyxpaddle.standin.RpcCaller;
 import onyxpaddle.standin.StandInRpcServer;
 import onyxpaddle.standin.StandInServer;
@@ -51,7 +51,7 @@
         String before = System.getProperty("measure.node.options", "");
         System.setProperty("measure.node.options", "-Xlog:gc*=info:file=" + gc + ":uptime");
         try (StandInServer http = new StandInServer("box", 0);
-                StandInRpcServer rpc = new StandInRpcServer("box", 0, new Ledger());
+                StandInRpcServer rpc = new StandInRpcServer("box", 0, new ExecutionCounter());
                 NodeProcess node = NodeProcess.start(CONFIG, 2, http.hostPort(), rpc.hostPort())) {
             byte[] look = Load.get("/look");
             rpc(node.listener(1), 16, 3);
--- a/src/main/java/onyxpaddle/scale/ScaleRun.java
+++ b/src/main/java/onyxpaddle/scale/ScaleRun.java
@@ -61,7 +61,7 @@
         ScaleReckoning reckoning = ScaleReckoning.of(size, size.realNodes() ? RealNodes.count() : 0);
         System.out.println("reckoned: " + reckoning.processes() + " processes, at most " + reckoning.memoryMiB() + " MiB, "
             + reckoning.descriptors() + " descriptors in one");
-        String refusal = reckoning.refusal(ScaleReckoning.freeMiB(), MachineLimits.here().descriptors());
+        String refusal = reckoning.refusal(ScaleReckoning.freeMiB(), MachineLimits.ofThisMachine().descriptors());
         if (refusal != null) {
             throw new IOException("the run does not fit: " + refusal);
         }
--- a/src/main/java/onyxpaddle/serve/BgpAnnouncer.java
+++ b/src/main/java/onyxpaddle/serve/BgpAnnouncer.java
@@ -19,13 +19,13 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Supplier;
 import onyxpaddle.bgp.AnnouncePolicy;
-import onyxpaddle.bgp.AnnouncePolicy.Standing;
+import onyxpaddle.bgp.AnnouncePolicy.AddressStatus;
 import onyxpaddle.bgp.BgpMessage.Notification;
 import onyxpaddle.bgp.ErrorCode;
 import onyxpaddle.bgp.Fsm;
 import onyxpaddle.bgp.Prefix;
 import onyxpaddle.bgp.ServiceHealth;
-import onyxpaddle.bgp.ServiceHealth.Seen;
+import onyxpaddle.bgp.ServiceHealth.Observation;
 import onyxpaddle.bgp.ServiceHealth.Verdict;
 import onyxpaddle.bgp.Speaker;
 import onyxpaddle.config.BgpConfig;
@@ -134,24 +134,24 @@
             : "bgp: cannot listen on " + next.listen() + ": " + f.cause().getMessage()));
     }
 
-    private static AnnouncePolicy.Terms terms(Service s) {
+    private static AnnouncePolicy.Settings terms(Service s) {
         List<Prefix> prefixes = new ArrayList<>();
         for (String text : s.prefixes()) {
             Ip.Range range = Ip.prefix(text);
             prefixes.add(new Prefix(range.address(), range.bits()));
         }
-        return new AnnouncePolicy.Terms(prefixes, s.withdrawDegraded(), s.last(), s.med(), s.degradedMed(), s.communities(),
-            s.degradedCommunities(), s.prepend(), s.holdDown(), s.mostHoldDown(), s.perMinute());
+        return new AnnouncePolicy.Settings(prefixes, s.withdrawDegraded(), s.lastAnnouncer(), s.med(), s.degradedMed(), s.communities(),
+            s.degradedCommunities(), s.prepend(), s.holdDown(), s.maxHoldDown(), s.updatesPerMinute());
     }
 
-    private static Speaker.PeerTerms terms(BgpConfig config, Peer peer) {
-        Fsm.Terms fsm = new Fsm.Terms(config.as(), peer.as(), config.identifier(), peer.holdTime(), peer.connectRetry(), IDLE_HOLD,
+    private static Speaker.PeerSettings terms(BgpConfig config, Peer peer) {
+        Fsm.Settings fsm = new Fsm.Settings(config.as(), peer.as(), config.identifier(), peer.holdTime(), peer.connectRetry(), IDLE_HOLD,
             MAX_IDLE_HOLD, peer.passive());
         try {
-            InetSocketAddress at = Addresses.of(peer.at().host(), peer.at().port());
-            return new Speaker.PeerTerms(peer.name(), at, peer.local() == null ? null : InetAddress.getByAddress(Ip.parse(peer.local())),
+            InetSocketAddress at = Addresses.of(peer.address().host(), peer.address().port());
+            return new Speaker.PeerSettings(peer.name(), at, peer.local() == null ? null : InetAddress.getByAddress(Ip.parse(peer.local())),
                 fsm, peer.nextHop4() == null ? null : Ip.parse(peer.nextHop4()), peer.nextHop6() == null ? null : Ip.parse(peer.nextHop6()),
-                peer.mostPrefixes());
+                peer.maxPrefixes());
         } catch (UnknownHostException e) {
             throw new IllegalStateException("invalid local address in a validated configuration: " + peer.local(), e);
         }
@@ -171,7 +171,7 @@
         for (Service service : config.addresses().values()) {
             Verdict verdict = verdict(service, lag, now);
             logChange(service.name(), verdict, draining);
-            speaker.stands(service.name(), new Standing(verdict.status(), draining, empty));
+            speaker.updateStatus(service.name(), new AddressStatus(verdict.status(), draining, empty));
         }
     }
 
@@ -196,25 +196,25 @@
                 terms(service.degradedBelow(), service.downBelow(), service.dwell()), now)));
             monitored.setPool(pool);
             onyxpaddle.BalancerApi.FleetSummary fleet = pool.dispatcher.fleet();
-            Verdict verdict = monitored.health.observe(new Seen(pool.ready(), fleet.listed(), fleet.listed() - fleet.avoided(),
+            Verdict verdict = monitored.health.observe(new Observation(pool.ready(), fleet.listed(), fleet.listed() - fleet.avoided(),
                 monitored.count(RequestCounts.RequestResult.SUCCESS), monitored.count(RequestCounts.RequestResult.BUSY), monitored.count(RequestCounts.RequestResult.FAILURE), lag), now);
-            verdicts.add(new Verdict(verdict.status(), "pool " + name + ": " + verdict.why(), verdict.since()));
+            verdicts.add(new Verdict(verdict.status(), "pool " + name + ": " + verdict.reason(), verdict.since()));
         }
-        return ServiceHealth.combined(verdicts, service.any());
+        return ServiceHealth.combine(verdicts, service.anyPool());
     }
 
-    private static ServiceHealth.Terms terms(double degradedBelow, double downBelow, long dwell) {
-        ServiceHealth.Terms usual = ServiceHealth.Terms.USUAL;
-        return new ServiceHealth.Terms(degradedBelow, downBelow, usual.margin(), usual.leastSeen(), usual.window(), dwell,
-            usual.worstLag());
+    private static ServiceHealth.Settings terms(double degradedBelow, double downBelow, long dwell) {
+        ServiceHealth.Settings usual = ServiceHealth.Settings.USUAL;
+        return new ServiceHealth.Settings(degradedBelow, downBelow, usual.margin(), usual.minRequests(), usual.window(), dwell,
+            usual.maxLoopLag());
     }
 
     /** Logs a line where the status of an address has changed since the last poll. */
     private void logChange(String address, Verdict verdict, boolean draining) {
-        reasons.put(address, verdict.why());
+        reasons.put(address, verdict.reason());
         String text = (draining ? "draining" : verdict.status().name().toLowerCase(Locale.ROOT));
         if (!text.equals(lastStatus.put(address, text))) {
-            Log.line("bgp: service " + address + " is " + text + (draining ? "" : ": " + verdict.why()));
+            Log.line("bgp: service " + address + " is " + text + (draining ? "" : ": " + verdict.reason()));
         }
     }
 
@@ -231,7 +231,7 @@
                 g.writeStringField("name", peer.name());
                 g.writeStringField("state", peer.state().name().toLowerCase(Locale.ROOT).replace('_', ' '));
                 g.writeNumberField("failures", peer.failures());
-                g.writeNumberField("heardPrefixes", peer.heardPrefixes());
+                g.writeNumberField("heardPrefixes", peer.receivedPrefixes());
                 g.writeNumberField("updatesSent", peer.updatesSent());
                 g.writeEndObject();
             }
@@ -240,10 +240,10 @@
             for (Map.Entry<String, AnnouncePolicy> address : speaker.addresses().entrySet()) {
                 g.writeStartObject();
                 g.writeStringField("name", address.getKey());
-                g.writeStringField("announced", address.getValue().told());
+                g.writeStringField("announced", address.getValue().modeName());
                 g.writeStringField("service", lastStatus.getOrDefault(address.getKey(), "not seen yet"));
                 g.writeStringField("why", reasons.getOrDefault(address.getKey(), ""));
-                g.writeNumberField("heldForMs", address.getValue().leftOfHold(lifecycle.clock.now()) / 1_000_000L);
+                g.writeNumberField("heldForMs", address.getValue().holdDownRemaining(lifecycle.clock.now()) / 1_000_000L);
                 g.writeArrayFieldStart("prefixes");
                 for (Prefix prefix : address.getValue().prefixes()) {
                     g.writeString(prefix.toString());
@@ -265,7 +265,7 @@
     /** To be called once all accepted requests are answered: withdraws, closes the sessions with a reason, then calls {@code done}. */
     void stop(Runnable done) {
         pollTask.cancel(false);
-        config.addresses().keySet().forEach(name -> speaker.stands(name, new Standing(ServiceHealth.Status.DOWN, true, true)));
+        config.addresses().keySet().forEach(name -> speaker.updateStatus(name, new AddressStatus(ServiceHealth.Status.DOWN, true, true)));
         speaker.stop(new Notification(ErrorCode.SHUTDOWN), done);
     }
 }
--- a/src/main/java/onyxpaddle/serve/DistributedNode.java
+++ b/src/main/java/onyxpaddle/serve/DistributedNode.java
@@ -15,10 +15,10 @@
 import onyxpaddle.config.HostPort;
 import onyxpaddle.config.MachineLimits;
 import onyxpaddle.config.NodeConfig;
-import onyxpaddle.config.Shape;
+import onyxpaddle.config.Schema;
 import onyxpaddle.config.SourceFile;
 import onyxpaddle.config.Value;
-import onyxpaddle.config.View;
+import onyxpaddle.config.ConfigView;
 import onyxpaddle.distribution.Subscription;
 import onyxpaddle.node.Addresses;
 import onyxpaddle.node.Log;
@@ -59,7 +59,7 @@
         }
         DistributedNode target = new DistributedNode(admin);
         DistributedConfiguration configuration = new DistributedConfiguration(
-            new DistributedConfiguration.Origin(subscription, base, file.toAbsolutePath().getParent(), MachineLimits.here(), state),
+            new DistributedConfiguration.Origin(subscription, base, file.toAbsolutePath().getParent(), MachineLimits.ofThisMachine(), state),
             control(control), worker(), target);
         try {
             configuration.start().get();
@@ -77,7 +77,7 @@
 
     /** Which entries apply to the node; null if the file has no valid name. */
     private static Subscription subscription(Value base, String service, Faults faults) {
-        String name = new View(base).text("name", Shape.Kind.NAME, null);
+        String name = new ConfigView(base).text("name", Schema.Kind.NAME, null);
         if (name == null) {
             faults.add(base.place(), "name", "is missing or not a valid name", "the name of the node, which selects its entries");
             return null;
--- a/src/main/java/onyxpaddle/serve/PoolSettings.java
+++ b/src/main/java/onyxpaddle/serve/PoolSettings.java
@@ -48,7 +48,7 @@
         List<BalancerApi.RequestClass> classes = new ArrayList<>();
         for (RequestClass c : config.classesOf(pool.name())) {
             Classes variants = classes(c);
-            if (config.called(pool.name())) {
+            if (config.hasProcedures(pool.name())) {
                 // RPC calls add classes of their own; a pool that serves HTTP only does not need them.
                 classes.addAll(callClasses(c).all());
                 continue;
--- a/src/main/java/onyxpaddle/serve/RunningPool.java
+++ b/src/main/java/onyxpaddle/serve/RunningPool.java
@@ -18,7 +18,7 @@
 import onyxpaddle.config.NodeConfig.RequestClass;
 import onyxpaddle.config.NodeConfig.Server;
 import onyxpaddle.config.NodeConfig;
-import onyxpaddle.config.ServerLists;
+import onyxpaddle.config.ServerListReader;
 import onyxpaddle.http.HttpBridge;
 import onyxpaddle.http.HttpUpstream;
 import onyxpaddle.http.PlainUpstreamDialect;
@@ -76,7 +76,7 @@
         InFlightLimit limit = pool.inFlight() == 0 ? null : new InFlightLimit(pool.inFlight(), highestWorth);
         dispatcher = new Dispatcher(context.clock(), context.loop(), new RatioBalancer(settings, seed), settings.limits(),
             context.tally(), limit);
-        servesRpc = node.called(pool.name());
+        servesRpc = node.hasProcedures(pool.name());
         upstream = new MixedProtocolUpstream(dispatcher, new HttpUpstream(context.loop(), context.allocator(), context.clock(),
             share, dispatcher, new PlainUpstreamDialect(context.node()), pool.idle(), pool.connectTimeout(), MAX_IDLE_CONNECTIONS,
             servesRpc ? new RpcOverHttp(share.bytes(), pool.body()) : HttpBridge.NONE), () -> rpc(pool));
@@ -114,7 +114,7 @@
 
     private static Optional<ServerList> read(Path file) {
         Faults faults = new Faults();
-        List<Server> servers = ServerLists.file(file, faults);
+        List<Server> servers = ServerListReader.file(file, faults);
         faults.list().stream().limit(5).forEach(fault -> Log.line(fault.toString()));
         return Optional.ofNullable(servers).map(PoolSettings::roster);
     }
@@ -137,7 +137,7 @@
 
     /** Whether this pool can be reused under a new configuration, which differs in its servers at most. */
     boolean canServe(Pool next, NodeConfig node) {
-        return config.differsInServersOnly(next) && servesRpc == node.called(next.name())
+        return config.equalsExceptServers(next) && servesRpc == node.hasProcedures(next.name())
             && classes.equals(node.classesOf(next.name()));
     }
 
--- a/src/main/java/onyxpaddle/serve/Sidecar.java
+++ b/src/main/java/onyxpaddle/serve/Sidecar.java
@@ -104,7 +104,7 @@
     /** Runs a node until the process is terminated; {@code admin} overrides the file's admin address, null for no override. */
     public static void main(Path file, HostPort admin) {
         Faults faults = new Faults();
-        NodeConfig first = NodeConfigReader.file(file, MachineLimits.here(), faults);
+        NodeConfig first = NodeConfigReader.file(file, MachineLimits.ofThisMachine(), faults);
         if (first == null) {
             faults.list().forEach(System.err::println);
             System.exit(EXIT_CONFIG);
@@ -179,7 +179,7 @@
     /** Rereads the file, off the event loop. An invalid file changes nothing, and its faults are logged. */
     void reload(Path file) {
         Faults faults = new Faults();
-        NodeConfig read = NodeConfigReader.file(file, MachineLimits.here(), faults);
+        NodeConfig read = NodeConfigReader.file(file, MachineLimits.ofThisMachine(), faults);
         if (read == null) {
             Log.line("reload: nothing is changed, as the file is at fault:");
             faults.list().stream().limit(MAX_FAULTS_LOGGED).map(Fault::toString).forEach(Log::line);
@@ -262,7 +262,7 @@
 
     private BoundListener existing(Listener listener) {
         BoundListener bound = boundListeners.get(listener.name());
-        return bound != null && bound.listener().sameDoor(listener) ? bound : null;
+        return bound != null && bound.listener().sameEndpoint(listener) ? bound : null;
     }
 
     private void commit(NodeConfig to, List<BoundListener> opened) {
@@ -280,7 +280,7 @@
         boundListeners.clear();
         for (Listener listener : to.listeners().values()) {
             BoundListener old = previous.get(listener.name());
-            BoundListener bound = old != null && old.listener().sameDoor(listener) ? old
+            BoundListener bound = old != null && old.listener().sameEndpoint(listener) ? old
                 : opened.stream().filter(d -> d.listener().equals(listener)).findFirst().orElseThrow();
             if (bound.front() instanceof HttpFront front) {
                 front.use(dialect(to, listener, targets));
--- a/src/main/java/onyxpaddle/serve/SiteGates.java
+++ b/src/main/java/onyxpaddle/serve/SiteGates.java
@@ -1,10 +1,10 @@
 package onyxpaddle.serve;
 
-import static onyxpaddle.config.Shape.optional;
-import static onyxpaddle.config.Shape.plain;
-import static onyxpaddle.config.Shape.required;
-import static onyxpaddle.config.Shape.section;
-import static onyxpaddle.config.Shape.within;
+import static onyxpaddle.config.Schema.optional;
+import static onyxpaddle.config.Schema.plain;
+import static onyxpaddle.config.Schema.required;
+import static onyxpaddle.config.Schema.section;
+import static onyxpaddle.config.Schema.bounded;
 
 import java.nio.file.Path;
 import java.util.List;
@@ -12,12 +12,12 @@
 import java.util.stream.Collectors;
 import onyxpaddle.BalancerApi.Settings;
 import onyxpaddle.config.Faults;
-import onyxpaddle.config.Shape.Kind;
-import onyxpaddle.config.Shape.Section;
-import onyxpaddle.config.ShapeCheck;
+import onyxpaddle.config.Schema.Kind;
+import onyxpaddle.config.Schema.Section;
+import onyxpaddle.config.SchemaValidator;
 import onyxpaddle.config.SourceFile;
 import onyxpaddle.config.Value;
-import onyxpaddle.config.View;
+import onyxpaddle.config.ConfigView;
 import onyxpaddle.node.SiteGate;
 import onyxpaddle.node.Log;
 import onyxpaddle.site.Fleet;
@@ -34,12 +34,12 @@
     private static final int MAX_FAULTS_LOGGED = 10;
 
     private static final Section SCHEMA = section(
-        required("version", within(Kind.COUNT, 1, 1), "the version of this format"),
+        required("version", bounded(Kind.COUNT, 1, 1), "the version of this format"),
         required("sites", plain(Kind.TEXT), "the file of the sites, relative to this file"),
         required("plan", plain(Kind.TEXT), "the file of the plan, relative to this file"),
-        optional("confirm", within(Kind.SPAN, 0, 60_000 * MS), "500 ms", "how long a site is suspected before it counts as lost"),
-        optional("hold", within(Kind.SPAN, 0, 600_000 * MS), "2 s", "minimum duration of each step when a site returns"),
-        optional("silence", within(Kind.SPAN, MS, 60_000 * MS), "1 s", "how long after an answer a site counts as reachable"));
+        optional("confirm", bounded(Kind.SPAN, 0, 60_000 * MS), "500 ms", "how long a site is suspected before it counts as lost"),
+        optional("hold", bounded(Kind.SPAN, 0, 600_000 * MS), "2 s", "minimum duration of each step when a site returns"),
+        optional("silence", bounded(Kind.SPAN, MS, 60_000 * MS), "1 s", "how long after an answer a site counts as reachable"));
 
     private SiteGates() {
     }
@@ -58,8 +58,8 @@
         if (value == null) {
             return null;
         }
-        ShapeCheck.check(value, SCHEMA, faults);
-        View root = new View(value);
+        SchemaValidator.check(value, SCHEMA, faults);
+        ConfigView root = new ConfigView(value);
         Path folder = file.toAbsolutePath().getParent();
         if (faults.any()) {
             return null;
--- a/src/main/java/onyxpaddle/sidecar/Checked.java
+++ b/src/main/java/onyxpaddle/sidecar/CheckedFiles.java
@@ -14,13 +14,13 @@
 import onyxpaddle.config.NodeConfig.Listener;
 import onyxpaddle.config.NodeConfigReader;
 import onyxpaddle.config.Place;
-import onyxpaddle.config.ServerLists;
+import onyxpaddle.config.ServerListReader;
 import onyxpaddle.config.SourceFile;
 import onyxpaddle.config.Value;
-import onyxpaddle.config.View;
+import onyxpaddle.config.ConfigView;
 
 /** Files of any of our kinds, read and checked one by one and together. */
-final class Checked {
+final class CheckedFiles {
     private static final int MOST_FILES = 1000;
 
     final Faults faults = new Faults();
@@ -29,18 +29,18 @@
     int files;
     private final MachineLimits machine;
 
-    private Checked(MachineLimits machine) {
+    private CheckedFiles(MachineLimits machine) {
         this.machine = machine;
     }
 
     /** Reads the files, and of each folder those that end in .yaml, .yml or .json. */
-    static Checked of(List<Path> paths, MachineLimits machine) {
+    static CheckedFiles of(List<Path> paths, MachineLimits machine) {
         return of(paths, machine, true);
     }
 
     /** {@code whole}: these are all applications of the machine, so that a call to another one must find it here. */
-    static Checked of(List<Path> paths, MachineLimits machine, boolean whole) {
-        Checked checked = new Checked(machine);
+    static CheckedFiles of(List<Path> paths, MachineLimits machine, boolean whole) {
+        CheckedFiles checked = new CheckedFiles(machine);
         for (Path path : paths) {
             if (Files.isDirectory(path)) {
                 checked.folder(path);
@@ -48,7 +48,7 @@
                 checked.file(path);
             }
         }
-        Together.check(checked.descriptions, whole, checked.faults);
+        CrossDescriptionCheck.check(checked.descriptions, whole, checked.faults);
         checked.ports();
         return checked;
     }
@@ -76,7 +76,7 @@
         if (value == null) {
             return;
         }
-        View view = new View(value);
+        ConfigView view = new ConfigView(value);
         Faults own = new Faults();
         if (view.has("listeners") || view.has("routes") || view.has("pools") && !view.has("application")) {
             NodeConfig config = NodeConfigReader.read(value, path.toAbsolutePath().getParent(), machine, own);
@@ -84,7 +84,7 @@
                 configs.put(path, config);
             }
         } else if (view.has("servers") && !view.has("application")) {
-            ServerLists.file(path, own);
+            ServerListReader.file(path, own);
         } else {
             descriptions.add(DescriptionReader.read(value, path, machine, own));
         }
@@ -95,7 +95,7 @@
         Map<Listener, Path> listeners = new LinkedHashMap<>();
         configs.forEach((path, config) -> config.listeners().values().forEach(listener -> {
             listeners.forEach((other, where) -> {
-                if (other.address().clashes(listener.address()) && !where.equals(path)) {
+                if (other.address().conflictsWith(listener.address()) && !where.equals(path)) {
                     faults.add(Place.of(path.toString()), "listeners." + listener.name() + ".address", listener.address()
                         + " is claimed by the listener `" + other.name() + "` of " + where + " too",
                         "a port of its own for each listener of a machine");
--- a/src/main/java/onyxpaddle/sidecar/CommandRun.java
+++ b/src/main/java/onyxpaddle/sidecar/CommandRunner.java
@@ -4,11 +4,11 @@
 import picocli.CommandLine;
 
 /** How each command of the program is run: what it prints to, and what becomes of wrong usage and of failures. */
-public final class CommandRun {
+public final class CommandRunner {
     private static final int CANNOT_RUN = 1;
     private static final int USAGE = 64;
 
-    private CommandRun() {
+    private CommandRunner() {
     }
 
     /** Runs a command and returns its exit code. */
--- a/src/main/java/onyxpaddle/sidecar/ConfigFiles.java
+++ b/src/main/java/onyxpaddle/sidecar/ConfigFiles.java
@@ -19,7 +19,7 @@
     private static final String CHECKSUM = "# checksum: ";
 
     /** What is at a place where a configuration is to go. */
-    enum Standing { ABSENT, SAME, OUTDATED, CHANGED_BY_HAND }
+    enum FileState { ABSENT, SAME, OUTDATED, CHANGED_BY_HAND }
 
     private ConfigFiles() {
     }
@@ -43,18 +43,18 @@
         }
     }
 
-    static Standing standing(Path path, String sealed) throws IOException {
+    static FileState standing(Path path, String sealed) throws IOException {
         if (!Files.exists(path)) {
-            return Standing.ABSENT;
+            return FileState.ABSENT;
         }
         String before = Files.readString(path);
         if (before.equals(sealed)) {
-            return Standing.SAME;
+            return FileState.SAME;
         }
         String[] parts = before.split("\n", 3);
         boolean ours = parts.length == 3 && parts[1].startsWith(CHECKSUM)
             && parts[1].substring(CHECKSUM.length()).equals(checksum(parts[2]));
-        return ours ? Standing.OUTDATED : Standing.CHANGED_BY_HAND;
+        return ours ? FileState.OUTDATED : FileState.CHANGED_BY_HAND;
     }
 
     /** Puts it there in one step, so that nobody reads half of it. */
--- a/src/main/java/onyxpaddle/sidecar/Derivation.java
+++ b/src/main/java/onyxpaddle/sidecar/ConfigGenerator.java
@@ -21,7 +21,7 @@
  * byte. Everything the reader would take as usual is written out all the same: a configuration is read by people who
  * want to know what holds.
  */
-final class Derivation {
+final class ConfigGenerator {
     private static final String RPC = ", protocol: messagepack-rpc";
 
     private final StringBuilder out = new StringBuilder();
@@ -29,7 +29,7 @@
     private final Map<String, Description> neighbours = new HashMap<>();
     private final Path folder;
 
-    private Derivation(Description of, List<Description> all, Path folder) {
+    private ConfigGenerator(Description of, List<Description> all, Path folder) {
         this.of = of;
         this.folder = folder;
         all.forEach(d -> neighbours.put(d.name(), d));
@@ -37,7 +37,7 @@
 
     /** {@code all}: the applications of this machine; {@code folder}: where the text will stand, for names of files. */
     static String text(Description of, List<Description> all, Path folder) {
-        return new Derivation(of, all, folder).all();
+        return new ConfigGenerator(of, all, folder).all();
     }
 
     private String all() {
@@ -47,7 +47,7 @@
             line("tenant: " + of.tenant());
         }
         line("limits:");
-        line("  memory: " + Units.sizeText(of.limits().memory()));
+        line("  memory: " + Units.formatSize(of.limits().memory()));
         line("  descriptors: " + of.limits().descriptors());
         if (of.admin() != null) {
             line("admin: " + quoted(of.admin().toString()));
@@ -140,12 +140,12 @@
     private void requestClass(String name, RequestClass c) {
         line("  " + name + ":");
         line("    effect: " + c.effect().name().toLowerCase(Locale.ROOT));
-        line("    aim: " + Units.spanText(c.aim()));
-        line("    deadline: " + Units.spanText(c.deadline()));
+        line("    aim: " + Units.formatSpan(c.aim()));
+        line("    deadline: " + Units.formatSpan(c.deadline()));
         line("    worth: " + number(c.worth()));
         line("    late-worth: " + number(c.lateWorth()));
         if (c.memory() > 0) {
-            line("    memory: " + Units.spanText(c.memory()));
+            line("    memory: " + Units.formatSpan(c.memory()));
         }
         line("    retry: " + c.retry());
     }
@@ -171,14 +171,14 @@
                     + (s.draining() ? ", state: draining" : "") + "}");
             }
         }
-        line("    connect-timeout: " + Units.spanText(pool.connectTimeout()));
-        line("    keep-alive: " + Units.spanText(pool.keepAlive()));
-        line("    idle: " + Units.spanText(pool.idle()));
+        line("    connect-timeout: " + Units.formatSpan(pool.connectTimeout()));
+        line("    keep-alive: " + Units.formatSpan(pool.keepAlive()));
+        line("    idle: " + Units.formatSpan(pool.idle()));
         line("    attempts: " + pool.attempts());
         line("    in-flight: " + pool.inFlight());
-        line("    body: " + Units.sizeText(pool.body()));
-        line("    held: " + Units.sizeText(pool.held()));
-        if (servers.stream().anyMatch(s -> s.rpc() != null) || !pool.rpc().equals(Rpc.USUAL)) {
+        line("    body: " + Units.formatSize(pool.body()));
+        line("    held: " + Units.formatSize(pool.held()));
+        if (servers.stream().anyMatch(s -> s.rpc() != null) || !pool.rpc().equals(Rpc.DEFAULT)) {
             line("    rpc: {connections: " + pool.rpc().connections() + ", calls: " + pool.rpc().calls() + ", envelope: "
                 + pool.rpc().envelope() + "}");
         }
--- a/src/main/java/onyxpaddle/sidecar/Together.java
+++ b/src/main/java/onyxpaddle/sidecar/CrossDescriptionCheck.java
@@ -7,26 +7,26 @@
 import onyxpaddle.config.Faults;
 import onyxpaddle.config.HostPort;
 import onyxpaddle.config.Place;
-import onyxpaddle.config.View;
-import onyxpaddle.config.Words;
+import onyxpaddle.config.ConfigView;
+import onyxpaddle.config.SpellingSuggestions;
 import onyxpaddle.sidecar.Description.Call;
 
 /** What can be wrong only between the applications of one machine: names, ports, and calls to each other. */
-final class Together {
+final class CrossDescriptionCheck {
     private record Claim(HostPort address, String what, Place place, String path, Description by) {
     }
 
     private final List<Description> all;
     private final Faults faults;
 
-    private Together(List<Description> all, Faults faults) {
+    private CrossDescriptionCheck(List<Description> all, Faults faults) {
         this.all = all;
         this.faults = faults;
     }
 
     /** {@code whole}: whether these are all there are. */
     static void check(List<Description> descriptions, boolean whole, Faults faults) {
-        Together together = new Together(descriptions, faults);
+        CrossDescriptionCheck together = new CrossDescriptionCheck(descriptions, faults);
         together.names();
         together.ports();
         together.calls(whole);
@@ -63,7 +63,7 @@
         return new HostPort("127.0.0.1", port);
     }
 
-    private void claim(List<Claim> claims, Description by, View at, String key, HostPort address, String what) {
+    private void claim(List<Claim> claims, Description by, ConfigView at, String key, HostPort address, String what) {
         if (address != null && address.port() != 0) {
             claim(claims, new Claim(address, what, at.place(key), at.path(key), by));
         }
@@ -71,7 +71,7 @@
 
     private void claim(List<Claim> claims, Claim claim) {
         for (Claim other : claims) {
-            if (claim.address().clashes(other.address())) {
+            if (claim.address().conflictsWith(other.address())) {
                 String where = (claim.by() == other.by() ? "line " + other.place().line() : other.place().toString());
                 faults.add(claim.place(), claim.path(), "port " + claim.address().port() + " is claimed by "
                     + other.what() + " too (" + other.address() + ", " + where + ")", "a port of its own for each");
@@ -104,7 +104,7 @@
                     faults.add(call.at().place(), call.at().path(), "the application calls itself through its own node",
                         "call its own port " + (d.ports().http() != 0 ? d.ports().http() : d.ports().rpc()));
                 } else if (whole && !names.contains(call.name())) {
-                    String near = Words.nearest(call.name(), names);
+                    String near = SpellingSuggestions.nearest(call.name(), names);
                     faults.add(call.at().place(), call.at().path(), "nobody serves `" + call.name() + "`",
                         (near != null ? "did you mean `" + near + "`? " : "")
                             + "`servers`, `file` or `discovery`, or the description of that application beside this one");
--- a/src/main/java/onyxpaddle/sidecar/Description.java
+++ b/src/main/java/onyxpaddle/sidecar/Description.java
@@ -8,7 +8,7 @@
 import onyxpaddle.config.NodeConfig.Limits;
 import onyxpaddle.config.NodeConfig.Pool;
 import onyxpaddle.config.NodeConfig.RequestClass;
-import onyxpaddle.config.View;
+import onyxpaddle.config.ConfigView;
 
 /**
  * An application as its people describe it. What stands in no file is derived.
@@ -18,7 +18,7 @@
  * @param own the pool that is the application itself
  * @param others the class of requests for all other paths; null where they are turned away
  */
-record Description(Path file, View at, String name, String tenant, Ports ports, HostPort inbound, HostPort inboundRpc,
+record Description(Path file, ConfigView at, String name, String tenant, Ports ports, HostPort inbound, HostPort inboundRpc,
         HostPort admin, Path handover, Limits limits, Pool own, Map<String, Served> serves, RequestClass others, Map<String, Call> calls) {
     /** Ports on 127.0.0.1, one for each protocol; 0 for none. */
     record Ports(int http, int rpc) {
@@ -33,7 +33,7 @@
      *
      * @param application whether it is an application on this machine, by its name
      */
-    record Call(String name, View at, Ports ports, Pool pool, boolean application, Map<String, Served> classes,
+    record Call(String name, ConfigView at, Ports ports, Pool pool, boolean application, Map<String, Served> classes,
             RequestClass others) {
     }
 }
--- a/src/main/java/onyxpaddle/sidecar/DescriptionReader.java
+++ b/src/main/java/onyxpaddle/sidecar/DescriptionReader.java
@@ -20,24 +20,24 @@
 import onyxpaddle.config.NodeConfig.Server;
 import onyxpaddle.config.NodeConfigReader;
 import onyxpaddle.config.Place;
-import onyxpaddle.config.ServerLists;
-import onyxpaddle.config.Shape.Kind;
-import onyxpaddle.config.ShapeCheck;
+import onyxpaddle.config.ServerListReader;
+import onyxpaddle.config.Schema.Kind;
+import onyxpaddle.config.SchemaValidator;
 import onyxpaddle.config.Value;
-import onyxpaddle.config.View;
+import onyxpaddle.config.ConfigView;
 import onyxpaddle.route.Route;
 import onyxpaddle.sidecar.Description.Call;
 import onyxpaddle.sidecar.Description.Ports;
 import onyxpaddle.sidecar.Description.Served;
 
-/** Reads a description and finds all that is wrong with it by itself; see {@link Together} for the rest. */
+/** Reads a description and finds all that is wrong with it by itself; see {@link CrossDescriptionCheck} for the rest. */
 final class DescriptionReader {
-    private final View root;
+    private final ConfigView root;
     private final Path file;
     private final Faults faults;
     private final Limits limits;
 
-    private DescriptionReader(View root, Path file, Faults faults) {
+    private DescriptionReader(ConfigView root, Path file, Faults faults) {
         this.root = root;
         this.file = file;
         this.faults = faults;
@@ -46,12 +46,12 @@
 
     /** What it returns is whole only if there are no faults. */
     static Description read(Value value, Path file, MachineLimits machine, Faults faults) {
-        ShapeCheck.check(value, DescriptionShape.ALL, faults);
-        return new DescriptionReader(new View(value), file, faults).all(machine);
+        SchemaValidator.check(value, DescriptionShape.ALL, faults);
+        return new DescriptionReader(new ConfigView(value), file, faults).all(machine);
     }
 
     private Description all(MachineLimits machine) {
-        View bounds = root.section("limits");
+        ConfigView bounds = root.section("limits");
         machine.check(bounds, limits, faults);
         Ports ports = new Ports(root.port("port"), root.port("rpc-port"));
         HostPort inbound = inbound("inbound", "port", "HTTP");
@@ -64,10 +64,10 @@
         }
         List<Server> itself = ports.http() == 0 && ports.rpc() == 0 ? List.of()
             : List.of(new Server("application", here(ports.http()), 1, "", false, here(ports.rpc())));
-        Pool own = NodeConfigReader.settings("application", bounds, itself, null, null, limits, faults);
+        Pool own = NodeConfigReader.poolSettings("application", bounds, itself, null, null, limits, faults);
         Map<String, Served> serves = served(root, "serves", root.section("default"), root.has("default"));
         spoken(root, "serves", "port", "rpc-port");
-        fitsWhole(root, "serves", bounds, own);
+        checkWholeBodiesFit(root, "serves", bounds, own);
         Map<String, Call> calls = new LinkedHashMap<>();
         root.named("calls").forEach((name, view) -> calls.put(name, call(name, view, inbound, inboundRpc)));
         HostPort admin = NodeConfigReader.admin(root, faults);
@@ -95,7 +95,7 @@
     }
 
     /** That each class is reached by some protocol, and each protocol that a class names has a port. */
-    private void spoken(View at, String key, String http, String rpc) {
+    private void spoken(ConfigView at, String key, String http, String rpc) {
         at.named(key).forEach((name, view) -> {
             if (view.isSection() && !view.has("paths") && !view.has("procedures")) {
                 faults.add(view.place(), view.path(), "no request can be of this class", "`paths:` for HTTP, `procedures:` for "
@@ -110,7 +110,7 @@
         }
     }
 
-    private void unspoken(View at, View view, String what, String port) {
+    private void unspoken(ConfigView at, ConfigView view, String what, String port) {
         if (view.has(what) && !at.has(port) && (at.has("port") || at.has("rpc-port"))) {
             faults.add(view.place(what), view.path(what), "`" + what + "` where there is no `" + port + "`",
                 "`" + port + ":`, or no `" + what + "`");
@@ -118,17 +118,17 @@
     }
 
     /** The classes under a key, and the conflicts between their paths. */
-    private Map<String, Served> served(View at, String key, View others, boolean hasOthers) {
+    private Map<String, Served> served(ConfigView at, String key, ConfigView others, boolean hasOthers) {
         Map<String, Served> served = new LinkedHashMap<>();
         List<Route> routes = new ArrayList<>();
-        Map<Route, View> places = new HashMap<>();
+        Map<Route, ConfigView> places = new HashMap<>();
         Map<String, Place> taken = new HashMap<>();
         at.named(key).forEach((name, view) -> {
             RequestClass requestClass = NodeConfigReader.requestClass(name, view, faults);
             List<String> paths = view.texts("paths", Kind.PATH);
             Set<String> methods = new HashSet<>(view.texts("methods", Kind.METHOD));
             served.put(name, new Served(requestClass, paths, methods, procedures(view, taken)));
-            for (View path : view.items("paths")) {
+            for (ConfigView path : view.items("paths")) {
                 String text = path.self(Kind.PATH);
                 if (text != null) {
                     Route route = new Route(name + " " + text, "in", null, text, methods, Map.of(), "p", name, null);
@@ -147,13 +147,13 @@
         } else if (hasOthers) {
             faults.add(others.place(), others.path(), "a class has all paths (`/`) already", "remove one of the two");
         }
-        NodeConfigReader.conflicts(routes, places, faults);
+        NodeConfigReader.checkConflicts(routes, places, faults);
         return served;
     }
 
-    private List<String> procedures(View view, Map<String, Place> taken) {
+    private List<String> procedures(ConfigView view, Map<String, Place> taken) {
         List<String> procedures = new ArrayList<>();
-        for (View item : view.items("procedures")) {
+        for (ConfigView item : view.items("procedures")) {
             String text = item.self(Kind.PROCEDURE);
             Place first = text == null ? null : taken.putIfAbsent(text, item.place());
             if (first != null) {
@@ -166,8 +166,8 @@
         return procedures;
     }
 
-    private RequestClass others(View at) {
-        View view = at.section("default");
+    private RequestClass others(ConfigView at) {
+        ConfigView view = at.section("default");
         long deadline = view.span("deadline", -1);
         if (!at.has("default") || deadline < 0) {
             return null;
@@ -181,7 +181,7 @@
             view.number("late-worth", 0), 0, false);
     }
 
-    private Call call(String name, View view, HostPort inbound, HostPort inboundRpc) {
+    private Call call(String name, ConfigView view, HostPort inbound, HostPort inboundRpc) {
         int sources = (view.has("servers") ? 1 : 0) + (view.has("file") ? 1 : 0) + (view.has("discovery") ? 1 : 0);
         if (sources > 1) {
             faults.add(view.place(), view.path(), "servers from " + sources + " sources",
@@ -190,11 +190,11 @@
         if (!view.has("classes") && !view.has("default")) {
             faults.add(view.place(), view.path(), "no request can be made of it", "`classes:`, or `default:`");
         }
-        List<Server> servers = ServerLists.read(view, "servers", faults);
-        Path list = NodeConfigReader.listFile(view, file.toAbsolutePath().getParent(), faults);
+        List<Server> servers = ServerListReader.read(view, "servers", faults);
+        Path list = NodeConfigReader.listFilePath(view, file.toAbsolutePath().getParent(), faults);
         List<Server> known = servers;
         if (list != null) {
-            List<Server> listed = ServerLists.named(view, list, faults);
+            List<Server> listed = ServerListReader.named(view, list, faults);
             known = listed == null ? List.of() : listed;
         }
         if (!view.has("port") && !view.has("rpc-port")) {
@@ -205,26 +205,26 @@
         String key = list == null ? "servers" : "file";
         circles(view, key, known, inbound, inboundRpc);
         reachable(view, key, known);
-        Pool pool = NodeConfigReader.settings(name, view, servers, list, view.address("discovery"), limits, faults);
-        fitsWhole(view, "classes", view, pool);
+        Pool pool = NodeConfigReader.poolSettings(name, view, servers, list, view.address("discovery"), limits, faults);
+        checkWholeBodiesFit(view, "classes", view, pool);
         return new Call(name, view, new Ports(view.port("port"), view.port("rpc-port")), pool, sources == 0,
             served(view, "classes", view.section("default"), view.has("default")), others(view));
     }
 
     /** Bodies of a pool that any procedure leads to are held whole. */
-    private void fitsWhole(View view, String classes, View bounds, Pool pool) {
+    private void checkWholeBodiesFit(ConfigView view, String classes, ConfigView bounds, Pool pool) {
         if (view.named(classes).values().stream().anyMatch(c -> c.has("procedures"))) {
-            NodeConfigReader.fitsWhole(bounds, pool, limits, faults);
+            NodeConfigReader.checkWholeBodiesFit(bounds, pool, limits, faults);
         }
     }
 
     /** That servers speak what the classes of a call are asked by. */
-    private void reachable(View view, String key, List<Server> servers) {
+    private void reachable(ConfigView view, String key, List<Server> servers) {
         boolean http = view.has("default") || view.named("classes").values().stream().anyMatch(c -> c.has("paths"));
         boolean rpc = view.named("classes").values().stream().anyMatch(c -> c.has("procedures"));
         for (Server server : servers) {
             if (http && server.address() == null || rpc && server.rpc() == null) {
-                faults.add(view.place(key), view.path(key), "the server " + server.told() + " does not speak "
+                faults.add(view.place(key), view.path(key), "the server " + server.displayAddresses() + " does not speak "
                     + (http && server.address() == null ? "HTTP" : "MessagePack-RPC") + ", as a class here does",
                     http && server.address() == null ? "its `address`" : "its `rpc` address");
             }
@@ -239,15 +239,15 @@
         return port != 0 && server.addresses().stream().anyMatch(a -> a.reaches(new HostPort("127.0.0.1", port)));
     }
 
-    private void circles(View view, String key, List<Server> servers, HostPort... inbound) {
+    private void circles(ConfigView view, String key, List<Server> servers, HostPort... inbound) {
         for (Server server : servers) {
             boolean own = server.addresses().stream().anyMatch(a -> Stream.of(inbound).filter(Objects::nonNull)
                 .anyMatch(a::reaches));
-            for (View call : root.named("calls").values()) {
+            for (ConfigView call : root.named("calls").values()) {
                 own |= reaches(server, call.port("port")) || reaches(server, call.port("rpc-port"));
             }
             if (own) {
-                faults.add(view.place(key), view.path(key), "the server " + server.told()
+                faults.add(view.place(key), view.path(key), "the server " + server.displayAddresses()
                     + " is this application's own node: calls would go round in a circle",
                     "the address of the servers themselves");
             }
--- a/src/main/java/onyxpaddle/sidecar/DescriptionShape.java
+++ b/src/main/java/onyxpaddle/sidecar/DescriptionShape.java
@@ -1,29 +1,29 @@
 package onyxpaddle.sidecar;
 
-import static onyxpaddle.config.Shape.optional;
-import static onyxpaddle.config.Shape.plain;
-import static onyxpaddle.config.Shape.required;
-import static onyxpaddle.config.Shape.section;
-import static onyxpaddle.config.Shape.some;
-
-import onyxpaddle.config.NodeShape;
-import onyxpaddle.config.Shape.Key;
-import onyxpaddle.config.Shape.Kind;
-import onyxpaddle.config.Shape.MapOf;
-import onyxpaddle.config.Shape.Section;
+import static onyxpaddle.config.Schema.optional;
+import static onyxpaddle.config.Schema.plain;
+import static onyxpaddle.config.Schema.required;
+import static onyxpaddle.config.Schema.section;
+import static onyxpaddle.config.Schema.listOf;
+
+import onyxpaddle.config.NodeSchema;
+import onyxpaddle.config.Schema.Key;
+import onyxpaddle.config.Schema.Kind;
+import onyxpaddle.config.Schema.MapOf;
+import onyxpaddle.config.Schema.Section;
 
 /** The keys of an application's description. */
 final class DescriptionShape {
     private static final Section CLASS = section(
-        optional("paths", some(plain(Kind.PATH)), "none", "the starts of the paths, by whole segments"),
-        optional("procedures", some(plain(Kind.PROCEDURE)), "none",
+        optional("paths", listOf(plain(Kind.PATH)), "none", "the starts of the paths, by whole segments"),
+        optional("procedures", listOf(plain(Kind.PROCEDURE)), "none",
             "the procedures of MessagePack-RPC; `*` at the end stands for all that begin so"),
-        optional("methods", some(plain(Kind.METHOD)), "any", "the methods"),
-        NodeShape.EFFECT, NodeShape.DEADLINE, NodeShape.AIM, NodeShape.WORTH, NodeShape.LATE_WORTH,
-        NodeShape.KEY_MEMORY, NodeShape.RETRY);
+        optional("methods", listOf(plain(Kind.METHOD)), "any", "the methods"),
+        NodeSchema.EFFECT, NodeSchema.DEADLINE, NodeSchema.AIM, NodeSchema.WORTH, NodeSchema.LATE_WORTH,
+        NodeSchema.KEY_MEMORY, NodeSchema.RETRY);
 
-    private static final Section DEFAULT = section(NodeShape.DEADLINE, NodeShape.AIM, NodeShape.WORTH,
-        NodeShape.LATE_WORTH);
+    private static final Section DEFAULT = section(NodeSchema.DEADLINE, NodeSchema.AIM, NodeSchema.WORTH,
+        NodeSchema.LATE_WORTH);
 
     private static final Key CLASSES = optional("classes", new MapOf(Kind.LABEL, CLASS, false), "none",
         "the classes of these calls");
@@ -33,12 +33,12 @@
     private static final Section CALL = section(
         optional("port", plain(Kind.PORT), "none", "where the application reaches it by HTTP, on 127.0.0.1"),
         optional("rpc-port", plain(Kind.PORT), "none", "where it reaches it by MessagePack-RPC, on 127.0.0.1"),
-        NodeShape.SERVER_LIST, NodeShape.FILE, NodeShape.DISCOVERY, CLASSES, OTHERS,
-        NodeShape.CONNECT_TIMEOUT, NodeShape.KEEP_ALIVE, NodeShape.IDLE, NodeShape.ATTEMPTS, NodeShape.IN_FLIGHT,
-        NodeShape.BODY, NodeShape.HELD, NodeShape.RPC);
+        NodeSchema.SERVER_LIST, NodeSchema.FILE, NodeSchema.DISCOVERY, CLASSES, OTHERS,
+        NodeSchema.CONNECT_TIMEOUT, NodeSchema.KEEP_ALIVE, NodeSchema.IDLE, NodeSchema.ATTEMPTS, NodeSchema.IN_FLIGHT,
+        NodeSchema.BODY, NodeSchema.HELD, NodeSchema.RPC);
 
-    private static final Section LIMITS = section(NodeShape.MEMORY, NodeShape.DESCRIPTORS, NodeShape.IN_FLIGHT,
-        NodeShape.BODY, NodeShape.HELD, NodeShape.CONNECT_TIMEOUT, NodeShape.KEEP_ALIVE, NodeShape.IDLE, NodeShape.RPC);
+    private static final Section LIMITS = section(NodeSchema.MEMORY, NodeSchema.DESCRIPTORS, NodeSchema.IN_FLIGHT,
+        NodeSchema.BODY, NodeSchema.HELD, NodeSchema.CONNECT_TIMEOUT, NodeSchema.KEEP_ALIVE, NodeSchema.IDLE, NodeSchema.RPC);
 
     static final Section ALL = section(
         required("application", plain(Kind.LABEL), "its name, on this machine and to those who call it"),
@@ -51,7 +51,7 @@
         OTHERS,
         optional("calls", new MapOf(Kind.LABEL, CALL, false), "none",
             "what it calls: `servers`, `file` or `discovery`, or else the application of that name on this machine"),
-        NodeShape.ADMIN, NodeShape.HANDOVER,
+        NodeSchema.ADMIN, NodeSchema.HANDOVER,
         optional("limits", LIMITS, "see its keys", "what the node may hold, and what the application bears"));
 
     private DescriptionShape() {
--- a/src/main/java/onyxpaddle/sidecar/Explanation.java
+++ b/src/main/java/onyxpaddle/sidecar/Explanation.java
@@ -79,10 +79,10 @@
         lines.put("class", c.name());
         lines.put("effect", c.effect().name().toLowerCase(Locale.ROOT)
             + (c.effect() == Effect.KEYED ? ", unsafe without a key in its envelope" : ""));
-        lines.put("deadline", Units.spanText(c.deadline()) + ", or `expires` of its envelope if that is sooner");
-        lines.put("aim", Units.spanText(c.aim()));
+        lines.put("deadline", Units.formatSpan(c.deadline()) + ", or `expires` of its envelope if that is sooner");
+        lines.put("aim", Units.formatSpan(c.aim()));
         lines.put("attempts", "at most " + pool.attempts() + (c.retry() ? "" : ", a further one only if all before never ran"));
-        lines.put("largest parameters", Units.sizeText(pool.body()));
+        lines.put("largest parameters", Units.formatSize(pool.body()));
         for (Procedure other : all) {
             if (other != found) {
                 lines.put("not " + other.name(), new ProcedureTable(List.of(other)).find(name) == null
@@ -110,19 +110,19 @@
         lines.put("class", c.name());
         lines.put("effect", unkeyed ? "unsafe, as it is keyed and has no Idempotency-Key"
             : c.effect().name().toLowerCase(Locale.ROOT));
-        lines.put("deadline", Units.spanText(c.deadline()) + (headers.containsKey("x-expires-in")
+        lines.put("deadline", Units.formatSpan(c.deadline()) + (headers.containsKey("x-expires-in")
             ? ", or X-Expires-In if that is sooner" : ""));
-        lines.put("aim", Units.spanText(c.aim()));
+        lines.put("aim", Units.formatSpan(c.aim()));
         boolean again = c.retry() && !unkeyed;
         lines.put("attempts", "at most " + pool.attempts() + (again ? "" : ", a further one only if all before never ran"));
         lines.put("refused", pool.inFlight() == 0 ? "never for what is in flight"
             : "503 at once with " + pool.inFlight() + " in flight");
-        lines.put("largest body", Units.sizeText(pool.body()));
+        lines.put("largest body", Units.formatSize(pool.body()));
     }
 
     private static String servers(Pool pool) {
         return pool.file() != null ? "the servers in " + pool.file()
             : pool.discovery() != null ? "what discovery at " + pool.discovery() + " names"
-            : String.join(", ", pool.servers().stream().map(s -> s.told()).toList());
+            : String.join(", ", pool.servers().stream().map(s -> s.displayAddresses()).toList());
     }
 }
--- a/src/main/java/onyxpaddle/sidecar/JsonSchema.java
+++ b/src/main/java/onyxpaddle/sidecar/JsonSchema.java
@@ -4,13 +4,13 @@
 import com.fasterxml.jackson.core.JsonGenerator;
 import java.io.IOException;
 import java.io.StringWriter;
-import onyxpaddle.config.Shape;
-import onyxpaddle.config.Shape.Key;
-import onyxpaddle.config.Shape.ListOf;
-import onyxpaddle.config.Shape.MapOf;
-import onyxpaddle.config.Shape.Plain;
-import onyxpaddle.config.Shape.Section;
-import onyxpaddle.config.Shape.ShortOr;
+import onyxpaddle.config.Schema;
+import onyxpaddle.config.Schema.Key;
+import onyxpaddle.config.Schema.ListOf;
+import onyxpaddle.config.Schema.MapOf;
+import onyxpaddle.config.Schema.ScalarSchema;
+import onyxpaddle.config.Schema.Section;
+import onyxpaddle.config.Schema.ScalarOrSection;
 
 /** A shape as JSON Schema (draft 2020-12), for editors. It tells forms; what makes no sense only the check finds. */
 final class JsonSchema {
@@ -34,18 +34,18 @@
         return text + "\n";
     }
 
-    private void object(Shape shape, Key key) throws IOException {
+    private void object(Schema shape, Key key) throws IOException {
         json.writeStartObject();
         if (key != null) {
-            json.writeStringField("description", key.about() + (key.usual() == null ? "" : " (without it: "
-                + key.usual() + ")"));
+            json.writeStringField("description", key.description() + (key.defaultText() == null ? "" : " (without it: "
+                + key.defaultText() + ")"));
         }
         fields(shape);
         json.writeEndObject();
     }
 
-    private void fields(Shape shape) throws IOException {
-        if (shape instanceof Plain plain) {
+    private void fields(Schema shape) throws IOException {
+        if (shape instanceof ScalarSchema plain) {
             plain(plain);
         } else if (shape instanceof ListOf list) {
             json.writeStringField("type", "array");
@@ -59,10 +59,10 @@
             object(map.item(), null);
         } else if (shape instanceof Section section) {
             section(section);
-        } else if (shape instanceof ShortOr either) {
+        } else if (shape instanceof ScalarOrSection either) {
             json.writeArrayFieldStart("anyOf");
-            object(either.brief(), null);
-            object(either.full(), null);
+            object(either.scalar(), null);
+            object(either.section(), null);
             json.writeEndArray();
         }
     }
@@ -80,16 +80,16 @@
         json.writeObjectFieldStart("properties");
         for (Key key : section.keys()) {
             json.writeFieldName(key.name());
-            object(key.shape(), key);
+            object(key.schema(), key);
         }
         json.writeEndObject();
     }
 
-    private void plain(Plain plain) throws IOException {
+    private void plain(ScalarSchema plain) throws IOException {
         switch (plain.kind()) {
             case PORT, COUNT -> {
                 json.writeStringField("type", "integer");
-                bounds(plain.kind() == Shape.Kind.PORT ? Shape.within(plain.kind(), 1, 65535) : plain);
+                bounds(plain.kind() == Schema.Kind.PORT ? Schema.bounded(plain.kind(), 1, 65535) : plain);
             }
             case NUMBER -> {
                 json.writeStringField("type", "number");
@@ -111,10 +111,10 @@
         }
     }
 
-    private void bounds(Plain plain) throws IOException {
-        if (plain.least() > -Double.MAX_VALUE) {
-            json.writeNumberField("minimum", plain.least());
-            json.writeNumberField("maximum", plain.most());
+    private void bounds(ScalarSchema plain) throws IOException {
+        if (plain.min() > -Double.MAX_VALUE) {
+            json.writeNumberField("minimum", plain.min());
+            json.writeNumberField("maximum", plain.max());
         }
     }
 
--- a/src/main/java/onyxpaddle/sidecar/Trial.java
+++ b/src/main/java/onyxpaddle/sidecar/LoopbackTrial.java
@@ -30,7 +30,7 @@
 import onyxpaddle.sidecar.Description.Call;
 import onyxpaddle.sidecar.Description.Ports;
 import onyxpaddle.sidecar.Description.Served;
-import onyxpaddle.standin.Ledger;
+import onyxpaddle.standin.ExecutionCounter;
 import onyxpaddle.standin.RpcCaller;
 import onyxpaddle.standin.StandInRpcServer;
 import onyxpaddle.standin.StandInServer;
@@ -41,13 +41,13 @@
  * A description tried on loopback: the application and all that it calls are stand-ins, all ports are ones that are
  * free just now, and the node between them is the real one.
  */
-final class Trial implements AutoCloseable {
+final class LoopbackTrial implements AutoCloseable {
     private static final Duration PATIENCE = Duration.ofSeconds(10);
     private static final int MOST_STAND_INS = 5;
     private static final String NO_CLASS = "(no class)";
 
     /** One request of the trial; {@code node}: whether the node itself gave the answer. */
-    record Asked(String listener, String requestClass, String method, String path, int status, boolean node,
+    record TrialRequest(String listener, String requestClass, String method, String path, int status, boolean node,
             String by, long micros) {
     }
 
@@ -58,10 +58,10 @@
     private final Sidecar node;
     final String configuration;
 
-    Trial(Description sound) throws Exception {
+    LoopbackTrial(Description sound) throws Exception {
         try {
             description = onLoopback(sound);
-            configuration = Derivation.text(description, List.of(description), Path.of("."));
+            configuration = ConfigGenerator.text(description, List.of(description), Path.of("."));
             Faults faults = new Faults();
             NodeConfig config = NodeConfigReader.read(SourceFile.parse("trial", configuration, faults), Path.of("."),
                 MachineLimits.UNKNOWN, faults);
@@ -78,7 +78,7 @@
 
     /** A stand-in that speaks what is asked of it, as it stands in a list. */
     private Server standIn(String name, boolean http, boolean rpc) throws Exception {
-        Ledger ledger = new Ledger();
+        ExecutionCounter ledger = new ExecutionCounter();
         HostPort address = null;
         HostPort rpcAddress = null;
         if (http) {
@@ -106,14 +106,14 @@
                 servers.add(standIn(call.name() + (count > 1 ? "-" + (i + 1) : ""), call.ports().http() != 0,
                     call.ports().rpc() != 0));
             }
-            calls.put(call.name(), new Call(call.name(), call.at(), freePorts(call.ports(), taken), call.pool().at(servers),
+            calls.put(call.name(), new Call(call.name(), call.at(), freePorts(call.ports(), taken), call.pool().withServers(servers),
                 false,
                 call.classes(), call.others()));
         }
         Ports inbound = freePorts(new Ports(of.inbound() == null ? 0 : 1, of.inboundRpc() == null ? 0 : 1), taken);
         return new Description(of.file(), of.at(), of.name(), of.tenant(), new Ports(port(application.address()),
             port(application.rpc())), here(inbound.http()), here(inbound.rpc()), null, null, of.limits(),
-            of.own().at(List.of(application)), of.serves(), of.others(), calls);
+            of.own().withServers(List.of(application)), of.serves(), of.others(), calls);
     }
 
     private static int port(HostPort address) {
@@ -140,8 +140,8 @@
     }
 
     /** Asks for each path of each class once, and for one that no class has. */
-    List<Asked> ask() throws Exception {
-        List<Asked> asked = new ArrayList<>();
+    List<TrialRequest> ask() throws Exception {
+        List<TrialRequest> asked = new ArrayList<>();
         ask(asked, "inbound", port(description.inbound()), description.serves(), description.others() != null);
         call(asked, "inbound--rpc", port(description.inboundRpc()), description.serves());
         for (Call call : description.calls().values()) {
@@ -151,7 +151,7 @@
         return asked;
     }
 
-    private void ask(List<Asked> asked, String listener, int port, Map<String, Served> classes, boolean others)
+    private void ask(List<TrialRequest> asked, String listener, int port, Map<String, Served> classes, boolean others)
             throws Exception {
         if (port == 0) {
             return;
@@ -168,7 +168,7 @@
     }
 
     /** Calls each procedure of each class once, and one that no class has. */
-    private static void call(List<Asked> asked, String listener, int port, Map<String, Served> classes) throws Exception {
+    private static void call(List<TrialRequest> asked, String listener, int port, Map<String, Served> classes) throws Exception {
         if (port == 0) {
             return;
         }
@@ -184,16 +184,17 @@
         }
     }
 
-    private static Asked call(RpcCaller caller, String listener, String requestClass, String procedure) throws Exception {
+    private static TrialRequest call(RpcCaller caller, String listener, String requestClass, String procedure) throws Exception {
         long start = System.nanoTime();
-        RpcCaller.Reply reply = caller.ask(procedure, RpcCaller.envelope("key", "trial-" + start), ValueFactory.newString("a trial"));
+        RpcCaller.Reply reply = caller.callAndWait(procedure, RpcCaller.envelope("key", "trial-" + start),
+            ValueFactory.newString("a trial"));
         Value by = reply.result().isMapValue() ? reply.result().asMapValue().map().get(ValueFactory.newString("by")) : null;
-        int status = reply.ok() ? 200 : "no-method".equals(reply.ownCode()) ? 404 : 503;
-        return new Asked(listener, requestClass, "CALL", procedure, status, reply.ownCode() != null,
+        int status = reply.ok() ? 200 : "no-method".equals(reply.nodeErrorCode()) ? 404 : 503;
+        return new TrialRequest(listener, requestClass, "CALL", procedure, status, reply.nodeErrorCode() != null,
             by == null ? "the node" : by.asStringValue().asString(), (System.nanoTime() - start) / 1000);
     }
 
-    private Asked ask(String listener, int port, String requestClass, String method, String path, Effect effect)
+    private TrialRequest ask(String listener, int port, String requestClass, String method, String path, Effect effect)
             throws Exception {
         boolean body = method.equals("POST") || method.equals("PUT") || method.equals("PATCH");
         HttpRequest.Builder request = HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + port + path))
@@ -203,13 +204,13 @@
         }
         long start = System.nanoTime();
         HttpResponse<String> answer = client.send(request.build(), BodyHandlers.ofString());
-        return new Asked(listener, requestClass, method, path, answer.statusCode(),
+        return new TrialRequest(listener, requestClass, method, path, answer.statusCode(),
             answer.headers().firstValue("X-Answered-By").isPresent(),
             answer.headers().firstValue("X-Stand-In").orElse("the node"), (System.nanoTime() - start) / 1000);
     }
 
     /** Whether each request with a class was served, and each without was turned away. */
-    static boolean sound(List<Asked> asked) {
+    static boolean sound(List<TrialRequest> asked) {
         return asked.stream().allMatch(a -> a.requestClass().equals(NO_CLASS) ? a.status() == 404 && a.node()
             : a.status() == 200 && !a.node());
     }
--- a/src/main/java/onyxpaddle/sidecar/RpcCommand.java
+++ b/src/main/java/onyxpaddle/sidecar/RpcCommand.java
@@ -45,7 +45,7 @@
 
     /** Runs the tool alone and returns its exit code. */
     static int run(String[] args, PrintWriter out, PrintWriter err) {
-        return CommandRun.run(line(), args, out, err);
+        return CommandRunner.run(line(), args, out, err);
     }
 
     /** The tool as a part of the program's commands. */
@@ -90,7 +90,7 @@
         PrintWriter err = spec.commandLine().getErr();
         try (RpcCaller caller = new RpcCaller(new InetSocketAddress(to.host(), to.port()))) {
             if (notify) {
-                caller.tell(method, values.toArray(new Value[0]));
+                caller.sendNotification(method, values.toArray(new Value[0]));
                 return ANSWERED;
             }
             Reply reply = caller.call(method, values.toArray(new Value[0])).get(timeout, TimeUnit.SECONDS);
@@ -98,7 +98,7 @@
                 out.println(reply.result().toJson());
                 return ANSWERED;
             }
-            err.println((reply.ownCode() != null ? "error of the node: " : "error: ") + reply.error().toJson());
+            err.println((reply.nodeErrorCode() != null ? "error of the node: " : "error: ") + reply.error().toJson());
             return ERROR;
         } catch (TimeoutException e) {
             err.println("lupinmount: no answer within " + timeout + " s; whether the call ran is not known");
--- a/src/main/java/onyxpaddle/sidecar/SidecarCommand.java
+++ b/src/main/java/onyxpaddle/sidecar/SidecarCommand.java
@@ -17,7 +17,7 @@
 import onyxpaddle.config.MachineLimits;
 import onyxpaddle.config.NodeConfig;
 import onyxpaddle.config.NodeConfigReader;
-import onyxpaddle.config.NodeShape;
+import onyxpaddle.config.NodeSchema;
 import onyxpaddle.config.SourceFile;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
@@ -48,12 +48,12 @@
 
     /** Runs the tool alone and returns its exit code. */
     static int run(String[] args, PrintWriter out, PrintWriter err, MachineLimits machine) {
-        return CommandRun.run(new CommandLine(new SidecarCommand(machine)), args, out, err);
+        return CommandRunner.run(new CommandLine(new SidecarCommand(machine)), args, out, err);
     }
 
     /** The tool as a part of the program's commands. */
     public static CommandLine line() {
-        return new CommandLine(new SidecarCommand(MachineLimits.here()));
+        return new CommandLine(new SidecarCommand(MachineLimits.ofThisMachine()));
     }
 
     private PrintWriter out() {
@@ -93,7 +93,7 @@
             json.writeEndObject();
         }
         json.writeEndArray();
-        json.writeNumberField("faultsLeftOut", faults.leftOut());
+        json.writeNumberField("faultsLeftOut", faults.omitted());
     }
 
     private int report(Faults faults, boolean asJson) throws IOException {
@@ -101,14 +101,14 @@
             json(json -> faults(json, faults));
         } else {
             faults.list().forEach(fault -> err().println(fault));
-            int count = faults.list().size() + faults.leftOut();
+            int count = faults.list().size() + faults.omitted();
             err().println(count + (count == 1 ? " fault" : " faults"));
         }
         return FAULTS;
     }
 
     /** Descriptions that are sound, each and together; empty, with the faults reported, where they are not. */
-    private List<Description> sound(Checked checked, boolean asJson) throws IOException {
+    private List<Description> sound(CheckedFiles checked, boolean asJson) throws IOException {
         if (!checked.configs.isEmpty()) {
             Path first = checked.configs.keySet().iterator().next();
             checked.faults.add(onyxpaddle.config.Place.of(first.toString()), "", "is a written configuration",
@@ -131,14 +131,14 @@
             @Option(names = "--diff", description = "show what would change; write nothing") boolean diff,
             @Option(names = "--force", description = "also in place of files that a person changed") boolean force,
             @Option(names = "--json", description = "for machines") boolean asJson) throws IOException {
-        Checked checked = Checked.of(files, machine);
+        CheckedFiles checked = CheckedFiles.of(files, machine);
         List<Description> descriptions = sound(checked, asJson);
         if (descriptions.isEmpty()) {
             return FAULTS;
         }
         Map<Path, String> texts = new LinkedHashMap<>();
         for (Description d : descriptions) {
-            String text = Derivation.text(d, descriptions, folder);
+            String text = ConfigGenerator.text(d, descriptions, folder);
             Faults own = new Faults();
             NodeConfigReader.read(SourceFile.parse(d.file() + " (as written)", text, own),
                 folder.toAbsolutePath(), machine, own);
@@ -152,7 +152,7 @@
 
     private int put(Map<Path, String> texts, Path folder, boolean diff, boolean force, boolean asJson)
             throws IOException {
-        Map<Path, ConfigFiles.Standing> standings = new LinkedHashMap<>();
+        Map<Path, ConfigFiles.FileState> standings = new LinkedHashMap<>();
         for (Map.Entry<Path, String> text : texts.entrySet()) {
             standings.put(text.getKey(), ConfigFiles.standing(text.getKey(), text.getValue()));
         }
@@ -161,16 +161,16 @@
             Files.createDirectories(folder);
         }
         for (Map.Entry<Path, String> text : texts.entrySet()) {
-            ConfigFiles.Standing standing = standings.get(text.getKey());
-            boolean leave = standing == ConfigFiles.Standing.CHANGED_BY_HAND && !force;
+            ConfigFiles.FileState standing = standings.get(text.getKey());
+            boolean leave = standing == ConfigFiles.FileState.CHANGED_BY_HAND && !force;
             kept |= leave;
-            if (!diff && !leave && standing != ConfigFiles.Standing.SAME) {
+            if (!diff && !leave && standing != ConfigFiles.FileState.SAME) {
                 ConfigFiles.write(text.getKey(), text.getValue());
             }
             if (!asJson) {
                 out().println(text.getKey() + ": " + told(standing, diff, leave));
-                if (diff && standing != ConfigFiles.Standing.SAME) {
-                    String before = standing == ConfigFiles.Standing.ABSENT ? "" : Files.readString(text.getKey());
+                if (diff && standing != ConfigFiles.FileState.SAME) {
+                    String before = standing == ConfigFiles.FileState.ABSENT ? "" : Files.readString(text.getKey());
                     ConfigFiles.difference(before, text.getValue()).forEach(out()::println);
                 }
             }
@@ -178,7 +178,7 @@
         if (asJson) {
             json(json -> {
                 json.writeObjectFieldStart("files");
-                for (Map.Entry<Path, ConfigFiles.Standing> s : standings.entrySet()) {
+                for (Map.Entry<Path, ConfigFiles.FileState> s : standings.entrySet()) {
                     json.writeStringField(s.getKey().toString(), s.getValue().name().toLowerCase(Locale.ROOT));
                 }
                 json.writeEndObject();
@@ -188,7 +188,7 @@
         return kept && !diff ? FAULTS : SOUND;
     }
 
-    private static String told(ConfigFiles.Standing standing, boolean diff, boolean leave) {
+    private static String told(ConfigFiles.FileState standing, boolean diff, boolean leave) {
         return switch (standing) {
             case SAME -> "as it should be";
             case ABSENT -> diff ? "would be written" : "written";
@@ -206,7 +206,7 @@
         footer = "%nExample: lupinmount sidecar check deploy/examples")
     int check(@Parameters(arity = "1..*", paramLabel = "FILE-OR-DIR") List<Path> files,
             @Option(names = "--json", description = "for machines") boolean asJson) throws IOException {
-        Checked checked = Checked.of(files, machine);
+        CheckedFiles checked = CheckedFiles.of(files, machine);
         if (checked.faults.any()) {
             return report(checked.faults, asJson);
         }
@@ -240,14 +240,14 @@
             }
             given.put(header.substring(0, colon).trim().toLowerCase(Locale.ROOT), header.substring(colon + 1).trim());
         }
-        Checked checked = Checked.of(List.of(file), machine);
+        CheckedFiles checked = CheckedFiles.of(List.of(file), machine);
         if (checked.faults.any()) {
             return report(checked.faults, asJson);
         }
         NodeConfig config = checked.configs.get(file);
         if (config == null && !checked.descriptions.isEmpty()) {
             Faults own = new Faults();
-            String text = Derivation.text(checked.descriptions.get(0), checked.descriptions, Path.of("."));
+            String text = ConfigGenerator.text(checked.descriptions.get(0), checked.descriptions, Path.of("."));
             config = NodeConfigReader.read(SourceFile.parse(file.toString(), text, own), Path.of(".").toAbsolutePath(),
                 machine, own);
         }
@@ -278,8 +278,8 @@
         switch (kind) {
             case "description" -> out().print(JsonSchema.of("An application beside a lupinmount node",
                 DescriptionShape.ALL));
-            case "configuration" -> out().print(JsonSchema.of("A lupinmount node", NodeShape.NODE));
-            case "list" -> out().print(JsonSchema.of("A list of servers", NodeShape.LIST_FILE));
+            case "configuration" -> out().print(JsonSchema.of("A lupinmount node", NodeSchema.NODE));
+            case "list" -> out().print(JsonSchema.of("A list of servers", NodeSchema.LIST_FILE));
             default -> {
                 err().println("no kind of file: " + kind + "; description, configuration or list");
                 return USAGE;
@@ -297,20 +297,20 @@
     int tryOut(@Parameters(paramLabel = "DESCRIPTION") Path file,
             @Option(names = "--once", description = "end when the requests are answered") boolean once,
             @Option(names = "--json", description = "for machines") boolean asJson) throws Exception {
-        Checked checked = Checked.of(List.of(file), machine, false);
+        CheckedFiles checked = CheckedFiles.of(List.of(file), machine, false);
         List<Description> descriptions = sound(checked, asJson);
         if (descriptions.isEmpty()) {
             return FAULTS;
         }
-        try (Trial trial = new Trial(descriptions.get(0))) {
-            List<Trial.Asked> asked = trial.ask();
+        try (LoopbackTrial trial = new LoopbackTrial(descriptions.get(0))) {
+            List<LoopbackTrial.TrialRequest> asked = trial.ask();
             if (asJson) {
                 json(json -> trial(json, trial, asked));
             } else {
                 trial.addresses().forEach((name, address) -> out().println(name + " is on " + address));
                 asked.forEach(a -> out().printf("%-14s %-14s %-6s %-24s %d from %s in %.1f ms%n", a.listener(),
                     a.requestClass(), a.method(), a.path(), a.status(), a.by(), a.micros() / 1000.0));
-                out().println(Trial.sound(asked) ? "all as it should be" : "not as it should be");
+                out().println(LoopbackTrial.sound(asked) ? "all as it should be" : "not as it should be");
             }
             out().flush();
             if (!once) {
@@ -318,18 +318,18 @@
                 out().flush();
                 new CountDownLatch(1).await();
             }
-            return Trial.sound(asked) ? SOUND : CANNOT_RUN;
+            return LoopbackTrial.sound(asked) ? SOUND : CANNOT_RUN;
         }
     }
 
-    private static void trial(JsonGenerator json, Trial trial, List<Trial.Asked> asked) throws IOException {
+    private static void trial(JsonGenerator json, LoopbackTrial trial, List<LoopbackTrial.TrialRequest> asked) throws IOException {
         json.writeObjectFieldStart("addresses");
         for (Map.Entry<String, String> address : trial.addresses().entrySet()) {
             json.writeStringField(address.getKey(), address.getValue());
         }
         json.writeEndObject();
         json.writeArrayFieldStart("requests");
-        for (Trial.Asked a : asked) {
+        for (LoopbackTrial.TrialRequest a : asked) {
             json.writeStartObject();
             json.writeStringField("listener", a.listener());
             json.writeStringField("class", a.requestClass());
@@ -341,6 +341,6 @@
             json.writeEndObject();
         }
         json.writeEndArray();
-        json.writeBooleanField("sound", Trial.sound(asked));
+        json.writeBooleanField("sound", LoopbackTrial.sound(asked));
     }
 }
--- a/src/main/java/onyxpaddle/siteplan/PlanFile.java
+++ b/src/main/java/onyxpaddle/siteplan/PlanFile.java
@@ -1,10 +1,10 @@
 package onyxpaddle.siteplan;
 
-import static onyxpaddle.config.Shape.plain;
-import static onyxpaddle.config.Shape.required;
-import static onyxpaddle.config.Shape.section;
-import static onyxpaddle.config.Shape.some;
-import static onyxpaddle.config.Shape.within;
+import static onyxpaddle.config.Schema.plain;
+import static onyxpaddle.config.Schema.required;
+import static onyxpaddle.config.Schema.section;
+import static onyxpaddle.config.Schema.listOf;
+import static onyxpaddle.config.Schema.bounded;
 
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Path;
@@ -21,14 +21,14 @@
 import java.util.TreeSet;
 import onyxpaddle.config.Faults;
 import onyxpaddle.config.Place;
-import onyxpaddle.config.Shape;
-import onyxpaddle.config.Shape.Kind;
-import onyxpaddle.config.Shape.MapOf;
-import onyxpaddle.config.Shape.Section;
-import onyxpaddle.config.ShapeCheck;
+import onyxpaddle.config.Schema;
+import onyxpaddle.config.Schema.Kind;
+import onyxpaddle.config.Schema.MapOf;
+import onyxpaddle.config.Schema.Section;
+import onyxpaddle.config.SchemaValidator;
 import onyxpaddle.config.SourceFile;
 import onyxpaddle.config.Value;
-import onyxpaddle.config.View;
+import onyxpaddle.config.ConfigView;
 import onyxpaddle.site.FailoverPlan;
 import onyxpaddle.site.FailoverPlan.Case;
 import onyxpaddle.site.Fleet;
@@ -39,22 +39,22 @@
     /** How far the sum of shares may be from 1, as they are written with six decimals. */
     private static final double SUM_TOLERANCE = 1e-4;
 
-    private static final MapOf SHARES = new MapOf(Kind.NAME, within(Kind.NUMBER, 0, 1), false);
+    private static final MapOf SHARES = new MapOf(Kind.NAME, bounded(Kind.NUMBER, 0, 1), false);
     private static final Section CASE = section(
-        required("lost", new Shape.ListOf(plain(Kind.NAME), true), "the lost sites"),
+        required("lost", new Schema.ListOf(plain(Kind.NAME), true), "the lost sites"),
         required("served", SHARES, "by class, the share that is served"),
         required("to", new MapOf(Kind.NAME, SHARES, false), "by the site where requests arrive, the shares that go to each survivor"));
     private static final Section ROOT = section(
-        required("plan", within(Kind.COUNT, 1, 1_000), "the version of this file format"),
+        required("plan", bounded(Kind.COUNT, 1, 1_000), "the version of this file format"),
         required("fleet", plain(Kind.NAME), "the name of the fleet that the plan was made for"),
         required("of", plain(Kind.TEXT), "the digest of that fleet"),
-        required("cases", some(CASE), "the response to each loss"));
+        required("cases", listOf(CASE), "the response to each loss"));
 
     private final Fleet fleet;
-    private final View root;
+    private final ConfigView root;
     private final Faults faults;
 
-    private PlanFile(Fleet fleet, View root, Faults faults) {
+    private PlanFile(Fleet fleet, ConfigView root, Faults faults) {
         this.fleet = fleet;
         this.root = root;
         this.faults = faults;
@@ -101,8 +101,8 @@
         if (value == null) {
             return null;
         }
-        ShapeCheck.check(value, ROOT, faults);
-        FailoverPlan plan = new PlanFile(fleet, new View(value), faults).plan();
+        SchemaValidator.check(value, ROOT, faults);
+        FailoverPlan plan = new PlanFile(fleet, new ConfigView(value), faults).plan();
         return faults.any() ? null : plan;
     }
 
@@ -121,7 +121,7 @@
         }
         List<Case> cases = new ArrayList<>();
         Set<Set<String>> seen = new HashSet<>();
-        for (View view : root.items("cases")) {
+        for (ConfigView view : root.items("cases")) {
             Case c = readCase(view);
             if (!seen.add(c.lost())) {
                 faults.add(view.place("lost"), view.path("lost"), "is a duplicate", "each loss once");
@@ -138,14 +138,14 @@
         return new FailoverPlan(fleetDigest, fleetName, cases);
     }
 
-    private Case readCase(View view) {
+    private Case readCase(ConfigView view) {
         Set<String> lost = new TreeSet<>(view.texts("lost", Kind.NAME));
         for (String site : lost) {
             checkKnown(view.place("lost"), view.path("lost"), "site", site, fleet.sites().keySet());
         }
         Map<String, Double> served = readShares(view, "served", "class", fleet.classes().keySet());
         Map<String, Map<String, Double>> destinations = new TreeMap<>();
-        View sources = view.section("to");
+        ConfigView sources = view.section("to");
         Set<String> survivors = new TreeSet<>(fleet.sites().keySet());
         survivors.removeAll(lost);
         for (String from : fleet.sites().keySet()) {
@@ -171,7 +171,7 @@
     }
 
     /** Reads numbers by name and checks the names. {@code kind}: what they name, for the message; null for survivors. */
-    private Map<String, Double> readShares(View view, String key, String kind, Set<String> names) {
+    private Map<String, Double> readShares(ConfigView view, String key, String kind, Set<String> names) {
         Map<String, Double> shares = new TreeMap<>();
         view.named(key).forEach((name, share) -> {
             checkKnown(share.place(), view.path(key), kind, name, names);
