--- a/src/main/java/onyxpaddle/siteplan/SitesReader.java
+++ b/src/main/java/onyxpaddle/siteplan/SitesReader.java
@@ -1,11 +1,11 @@
 package onyxpaddle.siteplan;
 
-import static onyxpaddle.config.Shape.optional;
-import static onyxpaddle.config.Shape.plain;
-import static onyxpaddle.config.Shape.required;
-import static onyxpaddle.config.Shape.section;
-import static onyxpaddle.config.Shape.some;
-import static onyxpaddle.config.Shape.within;
+import static onyxpaddle.config.Schema.optional;
+import static onyxpaddle.config.Schema.plain;
+import static onyxpaddle.config.Schema.required;
+import static onyxpaddle.config.Schema.section;
+import static onyxpaddle.config.Schema.listOf;
+import static onyxpaddle.config.Schema.bounded;
 
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -15,13 +15,13 @@
 import java.util.Map;
 import java.util.Set;
 import onyxpaddle.config.Faults;
-import onyxpaddle.config.Shape.Kind;
-import onyxpaddle.config.Shape.MapOf;
-import onyxpaddle.config.Shape.Section;
-import onyxpaddle.config.ShapeCheck;
+import onyxpaddle.config.Schema.Kind;
+import onyxpaddle.config.Schema.MapOf;
+import onyxpaddle.config.Schema.Section;
+import onyxpaddle.config.SchemaValidator;
 import onyxpaddle.config.SourceFile;
 import onyxpaddle.config.Value;
-import onyxpaddle.config.View;
+import onyxpaddle.config.ConfigView;
 import onyxpaddle.site.Fleet;
 
 /** Reads the sites file, which holds the capacity of each site and the load on it, and reports every fault in it. */
@@ -32,30 +32,30 @@
     private static final int MAX_SITES = 12;
 
     private static final Section SITE = section(
-        required("capacity", within(Kind.NUMBER, 0.001, 1e6), "requests that all its servers together process at once"),
-        optional("spare", within(Kind.NUMBER, 0, 0.95), "0.1", "the share of it that plans leave unused"),
-        required("nodes", within(Kind.COUNT, 1, 100_000), "node processes that take the site's clients"));
+        required("capacity", bounded(Kind.NUMBER, 0.001, 1e6), "requests that all its servers together process at once"),
+        optional("spare", bounded(Kind.NUMBER, 0, 0.95), "0.1", "the share of it that plans leave unused"),
+        required("nodes", bounded(Kind.COUNT, 1, 100_000), "node processes that take the site's clients"));
     private static final Section CROSSING = section(
         required("from", plain(Kind.NAME), "the site where clients arrive"),
         required("to", plain(Kind.NAME), "the site whose servers process the requests"),
-        optional("cost", within(Kind.NUMBER, 0, 1e6), "0", "worth lost for each second of work that uses the link"),
-        optional("most", within(Kind.NUMBER, 0, 1e6), "no bound", "seconds of work per second that the link can carry"));
+        optional("cost", bounded(Kind.NUMBER, 0, 1e6), "0", "worth lost for each second of work that uses the link"),
+        optional("most", bounded(Kind.NUMBER, 0, 1e6), "no bound", "seconds of work per second that the link can carry"));
     private static final Section CLASS = section(
-        required("work", within(Kind.SPAN, 1_000, 600 * S), "how long a server takes for one request"),
-        required("worth", within(Kind.NUMBER, 1e-6, 1e6), "of one served request"),
-        optional("floor", within(Kind.NUMBER, 0, 1), "0", "the share that is served before classes are compared by worth"),
-        required("per-second", new MapOf(Kind.NAME, within(Kind.NUMBER, 0, 1e6), false), "arrival rate by site"));
+        required("work", bounded(Kind.SPAN, 1_000, 600 * S), "how long a server takes for one request"),
+        required("worth", bounded(Kind.NUMBER, 1e-6, 1e6), "of one served request"),
+        optional("floor", bounded(Kind.NUMBER, 0, 1), "0", "the share that is served before classes are compared by worth"),
+        required("per-second", new MapOf(Kind.NAME, bounded(Kind.NUMBER, 0, 1e6), false), "arrival rate by site"));
     private static final Section ROOT = section(
-        required("version", within(Kind.COUNT, 1, 1), "of this file format"),
+        required("version", bounded(Kind.COUNT, 1, 1), "of this file format"),
         required("name", plain(Kind.NAME), "of the fleet"),
         required("sites", new MapOf(Kind.NAME, SITE, false), "capacity of each site"),
-        optional("crossing", some(CROSSING), "none", "links between sites that have a cost or a limit"),
+        optional("crossing", listOf(CROSSING), "none", "links between sites that have a cost or a limit"),
         required("classes", new MapOf(Kind.NAME, CLASS, false), "request classes and their load"));
 
-    private final View root;
+    private final ConfigView root;
     private final Faults faults;
 
-    private SitesReader(View root, Faults faults) {
+    private SitesReader(ConfigView root, Faults faults) {
         this.root = root;
         this.faults = faults;
     }
@@ -72,8 +72,8 @@
         if (value == null) {
             return null;
         }
-        ShapeCheck.check(value, ROOT, faults);
-        Fleet fleet = new SitesReader(new View(value), faults).fleet();
+        SchemaValidator.check(value, ROOT, faults);
+        Fleet fleet = new SitesReader(new ConfigView(value), faults).fleet();
         return faults.any() ? null : fleet;
     }
 
@@ -91,7 +91,7 @@
         return fleet;
     }
 
-    private Fleet.Kind requestClass(View view, Set<String> sites) {
+    private Fleet.Kind requestClass(ConfigView view, Set<String> sites) {
         Map<String, Double> perSecond = new LinkedHashMap<>();
         view.named("per-second").forEach((site, rate) -> {
             checkKnown(view, "per-second", site, sites);
@@ -101,7 +101,7 @@
         return new Fleet.Kind(view.span("work", (long) MS) / S, view.number("worth", 1), view.number("floor", 0), perSecond);
     }
 
-    private void checkKnown(View view, String key, String site, Set<String> sites) {
+    private void checkKnown(ConfigView view, String key, String site, Set<String> sites) {
         if (site != null && !sites.contains(site)) {
             faults.add(view.place(key), view.path(key), "there is no site `" + site + "`", "one of " + String.join(", ", sites));
         }
@@ -110,7 +110,7 @@
     private List<Fleet.Crossing> crossings(Set<String> sites) {
         List<Fleet.Crossing> all = new ArrayList<>();
         Set<String> seen = new HashSet<>();
-        for (View view : root.items("crossing")) {
+        for (ConfigView view : root.items("crossing")) {
             String from = view.text("from", Kind.NAME, null);
             String to = view.text("to", Kind.NAME, null);
             checkKnown(view, "from", from, sites);
--- a/src/main/java/onyxpaddle/standin/Ledger.java
+++ b/src/main/java/onyxpaddle/standin/ExecutionCounter.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /** What has run at a stand-in, whichever protocol it came by. */
-public final class Ledger {
+public final class ExecutionCounter {
     private static final int MOST_COUNTED = 1_000_000;
 
     private final Map<String, AtomicInteger> runs = new ConcurrentHashMap<>();
--- a/src/main/java/onyxpaddle/standin/FaultScript.java
+++ b/src/main/java/onyxpaddle/standin/FaultScript.java
@@ -43,16 +43,16 @@
 
     /** Nothing goes wrong. */
     public static FaultScript none() {
-        return listed(0);
+        return sequence(0);
     }
 
     /** These in their order, then nothing more; a delay is of so many milliseconds. */
-    public static FaultScript listed(long delayMillis, Fault... faults) {
+    public static FaultScript sequence(long delayMillis, Fault... faults) {
         return new FaultScript(List.of(faults), Map.of(), 0, delayMillis);
     }
 
     /** Each answer has each fault with its share, from 0 to 1, drawn with the seed. */
-    public static FaultScript drawn(long seed, long delayMillis, Map<Fault, Double> shares) {
+    public static FaultScript random(long seed, long delayMillis, Map<Fault, Double> shares) {
         return new FaultScript(List.of(), shares, seed, delayMillis);
     }
 
--- a/src/main/java/onyxpaddle/standin/RpcCaller.java
+++ b/src/main/java/onyxpaddle/standin/RpcCaller.java
@@ -36,7 +36,7 @@
         }
 
         /** The code of an error that a node gave by itself; null where it is an application's, or none. */
-        public String ownCode() {
+        public String nodeErrorCode() {
             Value own = error.isMapValue() ? error.asMapValue().map().get(ValueFactory.newString(ENVELOPE)) : null;
             return own == null ? null : own.asMapValue().map().get(ValueFactory.newString("code")).asStringValue().asString();
         }
@@ -45,9 +45,9 @@
     private final Socket socket = new Socket();
     private final Map<Long, CompletableFuture<Reply>> open = new ConcurrentHashMap<>();
     private final AtomicLong nextId = new AtomicLong();
-    private final AtomicInteger unexpected = new AtomicInteger();
-    private final CompletableFuture<Void> ended = new CompletableFuture<>();
-    private volatile boolean reads = true;
+    private final AtomicInteger unexpectedReplies = new AtomicInteger();
+    private final CompletableFuture<Void> closed = new CompletableFuture<>();
+    private volatile boolean reading = true;
 
     public RpcCaller(InetSocketAddress to) throws IOException {
         socket.setTcpNoDelay(true);
@@ -64,11 +64,11 @@
                 ArrayValue frame = unpacker.unpackValue().asArrayValue();
                 CompletableFuture<Reply> call = open.remove(frame.get(1).asIntegerValue().toLong());
                 if (call == null) {
-                    unexpected.incrementAndGet();
+                    unexpectedReplies.incrementAndGet();
                 } else {
                     call.complete(new Reply(frame.get(2), frame.get(3)));
                 }
-                while (!reads) {
+                while (!reading) {
                     TimeUnit.MILLISECONDS.sleep(1);
                 }
             }
@@ -82,7 +82,7 @@
         for (CompletableFuture<Reply> call : open.values()) {
             call.completeExceptionally(why);
         }
-        ended.complete(null);
+        closed.complete(null);
     }
 
     /** Calls, with these parameters. */
@@ -95,18 +95,18 @@
         CompletableFuture<Reply> reply = new CompletableFuture<>();
         open.put(id, reply);
         send(frame(id, method, params));
-        if (ended.isDone() && open.remove(id) != null) {
+        if (closed.isDone() && open.remove(id) != null) {
             reply.completeExceptionally(new IOException("the connection was closed"));
         }
         return reply;
     }
 
     /** Calls, and waits for the answer. */
-    public Reply ask(String method, Value... params) throws Exception {
+    public Reply callAndWait(String method, Value... params) throws Exception {
         return call(method, params).get(PATIENCE_MS, TimeUnit.MILLISECONDS);
     }
 
-    public void tell(String method, Value... params) {
+    public void sendNotification(String method, Value... params) {
         send(frame(-1, method, params));
     }
 
@@ -136,19 +136,19 @@
         }
     }
 
-    /** From now on it reads no answers, or reads on. */
-    public void reads(boolean on) {
-        reads = on;
+    /** From now on it reading no answers, or reads on. */
+    public void reading(boolean on) {
+        reading = on;
     }
 
     /** How many answers came that no call waited for. */
-    public int unexpected() {
-        return unexpected.get();
+    public int unexpectedReplies() {
+        return unexpectedReplies.get();
     }
 
     /** Done once the other side has closed. */
-    public CompletableFuture<Void> ended() {
-        return ended;
+    public CompletableFuture<Void> closed() {
+        return closed;
     }
 
     @Override
--- a/src/main/java/onyxpaddle/standin/StandIn.java
+++ b/src/main/java/onyxpaddle/standin/StandIn.java
@@ -25,7 +25,7 @@
     private static final long THAW_MS = 5;
 
     final String name;
-    final Ledger ledger;
+    final ExecutionCounter ledger;
     final ChannelGroup open = new DefaultChannelGroup(GlobalEventExecutor.INSTANCE);
     volatile boolean refuses;
     volatile FaultScript faults = FaultScript.none();
@@ -36,7 +36,7 @@
     private volatile boolean frozen;
     private volatile boolean held;
 
-    StandIn(String name, Ledger ledger) {
+    StandIn(String name, ExecutionCounter ledger) {
         this.name = name;
         this.ledger = ledger;
     }
@@ -109,7 +109,7 @@
     }
 
     /** What has run, here and at those that share the ledger. */
-    public final Ledger ledger() {
+    public final ExecutionCounter ledger() {
         return ledger;
     }
 
--- a/src/main/java/onyxpaddle/standin/StandInBgpPeer.java
+++ b/src/main/java/onyxpaddle/standin/StandInBgpPeer.java
@@ -98,7 +98,7 @@
     }
 
     /** Breaks the session off. */
-    public void breakOff() throws IOException {
+    public void closeSession() throws IOException {
         Socket socket = session;
         if (socket != null) {
             socket.close();
@@ -119,7 +119,7 @@
     }
 
     /** Sends these bytes as they are. */
-    public void raw(byte[] bytes) throws IOException {
+    public void sendRaw(byte[] bytes) throws IOException {
         session.getOutputStream().write(bytes);
     }
 
@@ -302,6 +302,6 @@
     @Override
     public void close() throws IOException {
         listener.close();
-        breakOff();
+        closeSession();
     }
 }
--- a/src/main/java/onyxpaddle/standin/StandInRpcServer.java
+++ b/src/main/java/onyxpaddle/standin/StandInRpcServer.java
@@ -34,7 +34,7 @@
     private volatile Map<Value, Value> lastEnvelope = Map.of();
 
     /** {@code port}: 0 for one that the system chooses; {@code ledger}: where it writes down what ran. */
-    public StandInRpcServer(String name, int port, Ledger ledger) throws Exception {
+    public StandInRpcServer(String name, int port, ExecutionCounter ledger) throws Exception {
         super(name, ledger);
         listen(port);
     }
--- a/src/main/java/onyxpaddle/standin/StandInServer.java
+++ b/src/main/java/onyxpaddle/standin/StandInServer.java
@@ -45,10 +45,10 @@
     /** Told of what comes and what runs, on the server's own loop. */
     public interface Watcher {
         /** A request of that {@code X-Effect} has come whole, from that address. */
-        void came(String effect, SocketAddress from);
+        void requestReceived(String effect, SocketAddress from);
 
         /** It runs. */
-        void ran(String effect);
+        void requestExecuted(String effect);
     }
 
     private volatile boolean silent;
@@ -63,11 +63,11 @@
 
     /** {@code port}: 0 for one that the system chooses. */
     public StandInServer(String name, int port) throws Exception {
-        this(name, port, new Ledger());
+        this(name, port, new ExecutionCounter());
     }
 
     /** As the other; {@code ledger}: where it writes down what ran, with those that share it. */
-    public StandInServer(String name, int port, Ledger ledger) throws Exception {
+    public StandInServer(String name, int port, ExecutionCounter ledger) throws Exception {
         super(name, ledger);
         listen(port);
     }
@@ -169,7 +169,7 @@
             }
             String effect = request.headers().get("X-Effect");
             if (watcher != null) {
-                watcher.came(effect, context.channel().remoteAddress());
+                watcher.requestReceived(effect, context.channel().remoteAddress());
             }
             if (refuses || slots > 0 && busy >= slots && line.size() >= room) {
                 DefaultFullHttpResponse refusal = answer(503, "full\n");
@@ -210,7 +210,7 @@
                 Runnable then) {
             ledger.ran(effect);
             if (watcher != null) {
-                watcher.ran(effect);
+                watcher.requestExecuted(effect);
             }
             if (silent) {
                 response.release();
--- a/src/test/java/onyxpaddle/bgp/AnnouncePolicyTest.java
+++ b/src/test/java/onyxpaddle/bgp/AnnouncePolicyTest.java
@@ -13,8 +13,8 @@
 import java.util.Set;
 import onyxpaddle.bgp.AnnouncePolicy.Order;
 import onyxpaddle.bgp.AnnouncePolicy.Peer;
-import onyxpaddle.bgp.AnnouncePolicy.Standing;
-import onyxpaddle.bgp.AnnouncePolicy.Terms;
+import onyxpaddle.bgp.AnnouncePolicy.AddressStatus;
+import onyxpaddle.bgp.AnnouncePolicy.Settings;
 import onyxpaddle.bgp.BgpMessage.Update;
 import onyxpaddle.bgp.ServiceHealth.Status;
 import org.junit.jupiter.api.Test;
@@ -24,16 +24,16 @@
     private static final long S = 1_000_000_000L;
     private static final Prefix FOUR = new Prefix(new byte[] {10, 9, 8, 7}, 32);
     private static final Prefix SIX = new Prefix(new byte[] {0x20, 1, 13, (byte) 0xb8, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 1}, 128);
-    private static final Standing UP = new Standing(Status.UP, false, true);
-    private static final Standing DEGRADED = new Standing(Status.DEGRADED, false, false);
-    private static final Standing DOWN = new Standing(Status.DOWN, false, false);
-    private static final Standing DRAINING = new Standing(Status.UP, true, false);
-    private static final Standing EMPTY = new Standing(Status.UP, true, true);
+    private static final AddressStatus UP = new AddressStatus(Status.UP, false, true);
+    private static final AddressStatus DEGRADED = new AddressStatus(Status.DEGRADED, false, false);
+    private static final AddressStatus DOWN = new AddressStatus(Status.DOWN, false, false);
+    private static final AddressStatus DRAINING = new AddressStatus(Status.UP, true, false);
+    private static final AddressStatus EMPTY = new AddressStatus(Status.UP, true, true);
     private static final Peer OUTER = new Peer("outer", 65001, false, new byte[] {10, 0, 0, 1}, null);
     private static final Peer INNER = new Peer("inner", 65001, true, new byte[] {10, 0, 0, 1}, new byte[16]);
 
-    private static Terms terms(boolean withdrawDegraded, boolean last, int perMinute) {
-        return new Terms(List.of(FOUR, SIX), withdrawDegraded, last, 10L, 200L, List.of(0x00010002), List.of(0x00010003), 3, 5 * S,
+    private static Settings terms(boolean withdrawDegraded, boolean last, int perMinute) {
+        return new Settings(List.of(FOUR, SIX), withdrawDegraded, last, 10L, 200L, List.of(0x00010002), List.of(0x00010003), 3, 5 * S,
             40 * S, perMinute);
     }
 
@@ -46,7 +46,7 @@
     @Test
     void eachStateIsSaidInItsOwnManner() {
         AnnouncePolicy policy = new AnnouncePolicy(terms(false, false, 10), 0);
-        assertEquals(0, policy.leftOfHold(1_900_000_000L * S), "by any clock");
+        assertEquals(0, policy.holdDownRemaining(1_900_000_000L * S), "by any clock");
         assertEquals(List.of(), policy.up(OUTER, 0), "nothing before the service is seen");
         policy.up(INNER, 0);
         List<Order> up = policy.stands(UP, S);
@@ -120,7 +120,7 @@
         assertEquals(40 * S, policy.holdDown());
         // Quiet, it is forgiven step by step; handed on before that, it is not forgotten.
         AnnouncePolicy next = new AnnouncePolicy(terms(false, false, 10), 300 * S);
-        next.recall(policy.holdDown(), policy.leftOfHold(300 * S), 300 * S);
+        next.recall(policy.holdDown(), policy.holdDownRemaining(300 * S), 300 * S);
         next.up(OUTER, 300 * S);
         assertEquals(List.of(), next.stands(UP, 301 * S));
         assertEquals(1, next.stands(UP, 341 * S).size());
@@ -194,7 +194,7 @@
             status = to;
             draining = drains;
             empty = isEmpty;
-            return policy.stands(new Standing(to, drains, isEmpty), now);
+            return policy.stands(new AddressStatus(to, drains, isEmpty), now);
         }
 
         private List<Order> pass(long span) {
--- a/src/test/java/onyxpaddle/bgp/FsmTest.java
+++ b/src/test/java/onyxpaddle/bgp/FsmTest.java
@@ -31,8 +31,8 @@
     private static final Notification ERROR = new Notification(ErrorCode.BAD_TYPE);
     private long now = 1_000 * S;
 
-    private static Fsm.Terms terms(boolean passive) {
-        return new Fsm.Terms(65001, 65002, 1, 30, 30 * S, 2 * S, 64 * S, passive);
+    private static Fsm.Settings terms(boolean passive) {
+        return new Fsm.Settings(65001, 65002, 1, 30, 30 * S, 2 * S, 64 * S, passive);
     }
 
     private Fsm in(State state) {
@@ -129,7 +129,7 @@
         assertRefused(new Open(4, 65002, 90, 0, Capabilities.OWN), "N2/3");
         assertRefused(new Open(4, 65002, 1, 2, Capabilities.OWN), "N2/6");
         assertRefused(new Open(4, 65002, 2, 2, Capabilities.OWN), "N2/6");
-        Fsm internal = new Fsm(new Fsm.Terms(65001, 65001, 1, 30, 30 * S, 2 * S, 64 * S, false), 7);
+        Fsm internal = new Fsm(new Fsm.Settings(65001, 65001, 1, 30, 30 * S, 2 * S, 64 * S, false), 7);
         internal.handle(Event.MANUAL_START, now);
         internal.handle(Event.TCP_CR_ACKED, now);
         assertEquals("N2/3 ", brief(internal.handle(Event.BGP_OPEN, new Open(4, 65001, 90, 1, Capabilities.OWN), now).get(0)));
@@ -209,8 +209,8 @@
     @Test
     void stoppedStaysStopped() {
         Fsm fsm = in(State.ESTABLISHED);
-        Notification why = new Notification(ErrorCode.DECONFIGURED);
-        assertEquals(List.of(new Send(why), new Drop(), new Down("stopped")), fsm.handle(Event.MANUAL_STOP, why, now));
+        Notification reason = new Notification(ErrorCode.DECONFIGURED);
+        assertEquals(List.of(new Send(reason), new Drop(), new Down("stopped")), fsm.handle(Event.MANUAL_STOP, reason, now));
         assertEquals(Long.MAX_VALUE, fsm.due());
         assertNull(fsm.peer());
         assertFalse(fsm.handle(Event.MANUAL_START, now).isEmpty(), "until it is started again");
--- a/src/test/java/onyxpaddle/bgp/PeeringTest.java
+++ b/src/test/java/onyxpaddle/bgp/PeeringTest.java
@@ -23,7 +23,7 @@
     private final long now = 50 * S;
 
     private static Peering peering(long identifier) {
-        return new Peering(new Fsm.Terms(65001, 65002, identifier, 30, 30 * S, S, 64 * S, false), 3);
+        return new Peering(new Fsm.Settings(65001, 65002, identifier, 30, 30 * S, S, 64 * S, false), 3);
     }
 
     private static Open open(long identifier) {
@@ -109,8 +109,8 @@
     @Test
     void stopEndsBothConnectionsWithTheReason() {
         Peering p = both(1);
-        Notification why = new Notification(ErrorCode.SHUTDOWN);
-        List<Order> orders = p.stop(why, now);
+        Notification reason = new Notification(ErrorCode.SHUTDOWN);
+        List<Order> orders = p.stop(reason, now);
         assertTrue(sends(orders, Link.MAIN, ErrorCode.SHUTDOWN) && sends(orders, Link.OTHER, ErrorCode.SHUTDOWN));
         assertEquals(Long.MAX_VALUE, p.due());
         assertNull(p.accepts());
--- a/src/test/java/onyxpaddle/bgp/ServiceHealthTest.java
+++ b/src/test/java/onyxpaddle/bgp/ServiceHealthTest.java
@@ -3,9 +3,9 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import onyxpaddle.bgp.ServiceHealth.Seen;
+import onyxpaddle.bgp.ServiceHealth.Observation;
 import onyxpaddle.bgp.ServiceHealth.Status;
-import onyxpaddle.bgp.ServiceHealth.Terms;
+import onyxpaddle.bgp.ServiceHealth.Settings;
 import onyxpaddle.bgp.ServiceHealth.Verdict;
 import org.junit.jupiter.api.Test;
 
@@ -13,7 +13,7 @@
 class ServiceHealthTest {
     private static final long MS = 1_000_000L;
     private static final long S = 1000 * MS;
-    private final ServiceHealth health = new ServiceHealth(Terms.USUAL, 0);
+    private final ServiceHealth health = new ServiceHealth(Settings.USUAL, 0);
     private long now;
     private long served;
     private long refused;
@@ -26,7 +26,7 @@
             served += good;
             refused += turnedAway;
             failed += bad;
-            health.observe(new Seen(true, 4, 4, served, refused, failed, 0), now);
+            health.observe(new Observation(true, 4, 4, served, refused, failed, 0), now);
         }
         return health.verdict();
     }
@@ -35,16 +35,16 @@
     void anIdlePoolWithSoundServersIsUpAndOneWithoutAnyIsDownAtOnce() {
         assertEquals(Status.UP, look(1, 0, 0, 0).status());
         assertEquals(Status.UP, look(400, 0, 0, 0).status());
-        Verdict verdict = health.observe(new Seen(true, 4, 0, 0, 0, 0, 0), now + 1);
+        Verdict verdict = health.observe(new Observation(true, 4, 0, 0, 0, 0, 0), now + 1);
         assertEquals(new Verdict(Status.DOWN, "none of 4 servers is sound", now + 1), verdict);
-        assertEquals("no server is listed", new ServiceHealth(Terms.USUAL, 0).observe(new Seen(true, 0, 0, 0, 0, 0, 0), 1).why());
-        assertEquals("not ready to serve", new ServiceHealth(Terms.USUAL, 0).observe(new Seen(false, 1, 1, 0, 0, 0, 0), 1).why());
+        assertEquals("no server is listed", new ServiceHealth(Settings.USUAL, 0).observe(new Observation(true, 0, 0, 0, 0, 0, 0), 1).reason());
+        assertEquals("not ready to serve", new ServiceHealth(Settings.USUAL, 0).observe(new Observation(false, 1, 1, 0, 0, 0, 0), 1).reason());
     }
 
     @Test
     void whatComesBackWaitsForItsDwellTime() {
         look(4, 0, 0, 0);
-        health.observe(new Seen(false, 4, 4, 0, 0, 0, 0), now);
+        health.observe(new Observation(false, 4, 4, 0, 0, 0, 0), now);
         assertEquals(Status.DOWN, look(19, 0, 0, 0).status());
         assertEquals(Status.UP, look(1, 0, 0, 0).status());
     }
@@ -54,7 +54,7 @@
         look(40, 10, 0, 0);
         assertEquals(Status.UP, look(40, 19, 0, 1).status(), "95 in 100 is well");
         assertEquals(Status.DEGRADED, look(40, 17, 0, 3).status());
-        assertTrue(health.verdict().why().contains("in 100 requests"), health.verdict().why());
+        assertTrue(health.verdict().reason().contains("in 100 requests"), health.verdict().reason());
         assertEquals(Status.DEGRADED, look(60, 92, 8, 0).status(), "over the bound, within the margin");
         assertEquals(Status.UP, look(60, 98, 2, 0).status());
         assertEquals(Status.DOWN, look(40, 2, 8, 0).status());
@@ -74,7 +74,7 @@
     @Test
     void aLoopThatIsLateDegradesIt() {
         look(4, 0, 0, 0);
-        assertEquals(Status.DEGRADED, health.observe(new Seen(true, 4, 4, 0, 0, 0, 600 * MS), now + MS).status());
+        assertEquals(Status.DEGRADED, health.observe(new Observation(true, 4, 4, 0, 0, 0, 600 * MS), now + MS).status());
         assertEquals(Status.DEGRADED, look(10, 0, 0, 0).status());
         assertEquals(Status.UP, look(20, 0, 0, 0).status());
     }
--- a/src/test/java/onyxpaddle/bgp/SpeakerTest.java
+++ b/src/test/java/onyxpaddle/bgp/SpeakerTest.java
@@ -17,11 +17,11 @@
 import java.util.concurrent.Callable;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import onyxpaddle.bgp.AnnouncePolicy.Standing;
+import onyxpaddle.bgp.AnnouncePolicy.AddressStatus;
 import onyxpaddle.bgp.BgpMessage.Notification;
 import onyxpaddle.bgp.Fsm.State;
 import onyxpaddle.bgp.ServiceHealth.Status;
-import onyxpaddle.bgp.Speaker.PeerTerms;
+import onyxpaddle.bgp.Speaker.PeerSettings;
 import onyxpaddle.node.Clock;
 import onyxpaddle.standin.StandInBgpPeer;
 import org.junit.jupiter.api.AfterEach;
@@ -34,7 +34,7 @@
     private static final long PATIENCE_S = 20;
     private static final long HOLD_DOWN = 200 * MS;
     private static final String ADDRESS = "10.9.8.7/32";
-    private static final Standing UP = new Standing(Status.UP, false, false);
+    private static final AddressStatus UP = new AddressStatus(Status.UP, false, false);
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
     private final Clock clock = new Clock();
@@ -47,7 +47,7 @@
         speaker = on(() -> new Speaker(loop, UnpooledByteBufAllocator.DEFAULT, clock, 5));
         on(() -> speaker.listen(new InetSocketAddress("127.0.0.1", 0))).sync();
         on(() -> {
-            speaker.add("booking", new AnnouncePolicy(new AnnouncePolicy.Terms(List.of(new Prefix(new byte[] {10, 9, 8, 7}, 32)), false, false,
+            speaker.add("booking", new AnnouncePolicy(new AnnouncePolicy.Settings(List.of(new Prefix(new byte[] {10, 9, 8, 7}, 32)), false, false,
                 10L, 200L, List.of(), List.of(), 2, HOLD_DOWN, 2_000 * MS, 60), clock.now()));
             return null;
         });
@@ -63,21 +63,21 @@
         return loop.submit(work).get(PATIENCE_S, TimeUnit.SECONDS);
     }
 
-    private static PeerTerms terms(StandInBgpPeer to, String name, int peerAs, int mostPrefixes) {
-        return new PeerTerms(name, to.address(), InetAddress.getLoopbackAddress(), new Fsm.Terms(65001, peerAs, 0x0a000001, 30, 300 * MS,
+    private static PeerSettings terms(StandInBgpPeer to, String name, int peerAs, int mostPrefixes) {
+        return new PeerSettings(name, to.address(), InetAddress.getLoopbackAddress(), new Fsm.Settings(65001, peerAs, 0x0a000001, 30, 300 * MS,
             50 * MS, 400 * MS, false), new byte[] {10, 0, 0, 1}, null, mostPrefixes);
     }
 
-    private void add(PeerTerms terms) throws Exception {
+    private void add(PeerSettings terms) throws Exception {
         on(() -> {
             speaker.add(terms, 0);
             return null;
         });
     }
 
-    private void stands(Standing standing) throws Exception {
+    private void stands(AddressStatus standing) throws Exception {
         on(() -> {
-            speaker.stands("booking", standing);
+            speaker.updateStatus("booking", standing);
             return null;
         });
     }
@@ -101,15 +101,15 @@
         assertTrue(peer.table().isEmpty(), "nothing before the service is up");
         stands(UP);
         await("not announced", () -> peer.table().containsKey(ADDRESS));
-        stands(new Standing(Status.UP, true, false));
+        stands(new AddressStatus(Status.UP, true, false));
         await("the drain is not said", () -> peer.table().getOrDefault(ADDRESS, "").contains("ffff0000"));
         // As long as a request is out nothing is withdrawn, whatever else is looked at meanwhile.
         for (int i = 0; i < 20; i++) {
-            stands(new Standing(Status.UP, true, false));
+            stands(new AddressStatus(Status.UP, true, false));
         }
         assertTrue(peer.table().containsKey(ADDRESS));
         long answered = System.nanoTime();
-        stands(new Standing(Status.UP, true, true));
+        stands(new AddressStatus(Status.UP, true, true));
         await("not withdrawn", () -> !peer.table().containsKey(ADDRESS));
         assertTrue(System.nanoTime() - answered < 2_000 * MS);
         assertEquals(3, peer.changes().size(), peer.changes().toString());
@@ -123,7 +123,7 @@
         await("not announced", () -> peer.table().containsKey(ADDRESS));
         // Before the withdrawal: the peer may hear of that late, but of the next announcement never too soon.
         long down = System.nanoTime();
-        stands(new Standing(Status.DOWN, false, false));
+        stands(new AddressStatus(Status.DOWN, false, false));
         await("not withdrawn", () -> !peer.table().containsKey(ADDRESS));
         stands(UP);
         await("not announced again", () -> peer.table().containsKey(ADDRESS));
@@ -139,7 +139,7 @@
         for (int i = 1; i <= 5; i++) {
             int session = i;
             await("no session " + i, () -> peer.sessions() == session && peer.table().containsKey(ADDRESS));
-            peer.breakOff();
+            peer.closeSession();
         }
         await("no last session", () -> peer.sessions() == 6 && peer.table().containsKey(ADDRESS));
         assertTrue(on(() -> speaker.status().get(0).failures()) >= 5);
@@ -189,7 +189,7 @@
         for (Map.Entry<String, byte[]> fault : faults.entrySet()) {
             int count = ++session;
             await("no session before " + fault.getKey(), () -> peer.sessions() == count && peer.established());
-            peer.raw(fault.getValue());
+            peer.sendRaw(fault.getValue());
             await("nothing told of " + fault.getKey(), () -> peer.notifications().size() == count);
             assertEquals(fault.getKey(), peer.notifications().get(count - 1));
         }
@@ -214,7 +214,7 @@
         for (Map.Entry<String, byte[]> fault : faults.entrySet()) {
             int told = ++count;
             await("no OPEN before " + fault.getKey(), () -> state() == State.OPEN_SENT && peer.opens() == told);
-            peer.raw(fault.getValue());
+            peer.sendRaw(fault.getValue());
             await("nothing told of " + fault.getKey(), () -> peer.notifications().size() == told);
             assertEquals(fault.getKey(), peer.notifications().get(told - 1));
         }
@@ -261,7 +261,7 @@
             // It has been left.
         }
         await("not left", () -> peer.notifications().contains("6/1"));
-        assertTrue(on(() -> speaker.status().get(0).heardPrefixes()) < 2_000);
+        assertTrue(on(() -> speaker.status().get(0).receivedPrefixes()) < 2_000);
     }
 
     @Test
--- a/src/test/java/onyxpaddle/config/UnitsAndAddressesTest.java
+++ b/src/test/java/onyxpaddle/config/UnitsAndAddressesTest.java
@@ -16,25 +16,25 @@
     @CsvSource({"300 ms, 300000000", "300ms, 300000000", "1.5 s, 1500000000", "2 min, 120000000000", "1 h, 3600000000000",
         "7 us, 7000", "0 ms, 0", "300, -1", "ms, -1", "-3 s, -1", "3 S, -1", "1e3 ms, -1", "1  s, -1", "1 KiB, -1"})
     void spans(String text, long nanos) {
-        assertEquals(nanos, Units.span(text));
+        assertEquals(nanos, Units.parseSpan(text));
     }
 
     @ParameterizedTest
     @CsvSource({"64 KiB, 65536", "1 MiB, 1048576", "0.5 GiB, 536870912", "7 B, 7", "64, -1", "64 KB, -1", "1 s, -1"})
     void sizes(String text, long bytes) {
-        assertEquals(bytes, Units.size(text));
+        assertEquals(bytes, Units.parseSize(text));
     }
 
     @Property(tries = 500, seed = "20261201")
     void whatIsWrittenIsReadAgain(@ForAll @LongRange(min = 0, max = 86_400_000_000L) long micros,
             @ForAll @LongRange(min = 0, max = 999_999_999L) long bytes) {
-        assertEquals(micros * 1000, spanOf(Units.spanText(micros * 1000)));
-        assertEquals(bytes, Units.size(Units.sizeText(bytes)));
+        assertEquals(micros * 1000, spanOf(Units.formatSpan(micros * 1000)));
+        assertEquals(bytes, Units.parseSize(Units.formatSize(bytes)));
     }
 
     /** Spans that are no whole unit have more digits than a person's may: only the number is compared. */
     private static long spanOf(String text) {
-        long read = Units.span(text);
+        long read = Units.parseSpan(text);
         return read >= 0 ? read : Long.parseLong(text.replace(" us", "")) * 1000;
     }
 
@@ -56,8 +56,8 @@
     @ParameterizedTest
     @CsvSource({"127.0.0.1:80, 127.0.0.1:80, true", "127.0.0.1:80, 0.0.0.0:80, true", "[::]:80, 10.0.0.1:80, true",
         "127.0.0.1:80, 127.0.0.2:80, false", "127.0.0.1:80, 127.0.0.1:81, false", "127.0.0.1:0, 127.0.0.1:0, false"})
-    void clashes(String one, String other, boolean clash) {
-        assertEquals(clash, HostPort.parse(one).clashes(HostPort.parse(other)));
-        assertEquals(clash, HostPort.parse(other).clashes(HostPort.parse(one)));
+    void conflictsWith(String one, String other, boolean clash) {
+        assertEquals(clash, HostPort.parse(one).conflictsWith(HostPort.parse(other)));
+        assertEquals(clash, HostPort.parse(other).conflictsWith(HostPort.parse(one)));
     }
 }
--- a/src/test/java/onyxpaddle/serve/FurtherAttemptDeadlineTest.java
+++ b/src/test/java/onyxpaddle/serve/FurtherAttemptDeadlineTest.java
@@ -173,7 +173,7 @@
     void inTheEnvelopeOfACall() throws Exception {
         try (RpcRig.Box box = new RpcRig.Box("one"); RpcRig rig = new RpcRig(RpcRig.config("rpc: {envelope: true}", box.rpcOnly("one")));
                 RpcCaller caller = rig.caller()) {
-            assertTrue(caller.ask("look.up", text("w1")).ok());
+            assertTrue(caller.callAndWait("look.up", text("w1")).ok());
             BlockedEventLoop held = new BlockedEventLoop(rig.node.loop());
             CompletableFuture<?> refused = caller.call("refuse", RpcCaller.envelope("expires", (long) (PATIENCE_S * 1e3)), text("c1"));
             held.releaseAfter(FAULT_MS);
--- a/src/test/java/onyxpaddle/serve/MetricsTest.java
+++ b/src/test/java/onyxpaddle/serve/MetricsTest.java
@@ -65,7 +65,8 @@
 
     @Test
     void holdOverCrashesCallersThatLeaveBothProtocolsAndReloads() throws Exception {
-        try (FakeServer box = new FakeServer("box"); StandInRpcServer records = new StandInRpcServer("records", 0, new onyxpaddle.standin.Ledger())) {
+        try (FakeServer box = new FakeServer("box");
+                StandInRpcServer records = new StandInRpcServer("records", 0, new onyxpaddle.standin.ExecutionCounter())) {
             String rpc = "127.0.0.1:" + records.address().getPort();
             Sidecar node = Sidecar.start(config(box.address(), rpc, 3));
             for (int i = 0; i < 7; i++) {
@@ -76,7 +77,7 @@
             }
             try (RpcCaller caller = new RpcCaller(node.address("calls"))) {
                 for (int i = 0; i < 5; i++) {
-                    assertTrue(caller.ask("read").ok());
+                    assertTrue(caller.callAndWait("read").ok());
                 }
             }
             assertEquals(7, figure(node, calls("book", "success")));
--- a/src/test/java/onyxpaddle/serve/RpcCallerDisconnectTest.java
+++ b/src/test/java/onyxpaddle/serve/RpcCallerDisconnectTest.java
@@ -14,16 +14,16 @@
     @Test
     void callAndCloseThatAreReadTogetherStartNothing() throws Exception {
         try (Box box = new Box("one"); RpcRig rig = new RpcRig(RpcRig.config("", box.rpcOnly("one"))); RpcCaller other = rig.caller()) {
-            assertTrue(other.ask("book", RpcRig.text("b1")).ok());
+            assertTrue(other.callAndWait("book", RpcRig.text("b1")).ok());
             RpcCaller gone = rig.caller();
-            assertTrue(gone.ask("book", RpcRig.text("b2")).ok());
+            assertTrue(gone.callAndWait("book", RpcRig.text("b2")).ok());
             BlockedEventLoop held = new BlockedEventLoop(rig.node.loop());
             gone.call("book", RpcRig.text("b3"));
             gone.close();
             held.releaseAfter(BEHIND_MS);
-            gone.ended().handle((nothing, failure) -> null).join();
-            assertTrue(other.ask("book", RpcRig.text("b4")).ok());
-            assertTrue(other.ask("book", RpcRig.text("b5")).ok());
+            gone.closed().handle((nothing, failure) -> null).join();
+            assertTrue(other.callAndWait("book", RpcRig.text("b4")).ok());
+            assertTrue(other.callAndWait("book", RpcRig.text("b5")).ok());
             assertEquals(0, box.ledger.runs("b3"));
             assertEquals(1, box.ledger.runs("b5"));
         }
--- a/src/test/java/onyxpaddle/serve/RpcFrontTest.java
+++ b/src/test/java/onyxpaddle/serve/RpcFrontTest.java
@@ -35,12 +35,12 @@
         try (Box box = new Box("one"); RpcRig rig = new RpcRig(config("", box.rpcOnly("one"))); RpcCaller caller = rig.caller()) {
             Value odd = ValueFactory.newMap(text("a"), ValueFactory.newExtension((byte) 7, new byte[] {1, 2, 3}),
                 ValueFactory.newInteger(-5), ValueFactory.newArray(ValueFactory.newFloat(0.1), ValueFactory.newNil()));
-            Reply reply = caller.ask("look.slots", odd, text("b"));
+            Reply reply = caller.callAndWait("look.slots", odd, text("b"));
             assertTrue(reply.ok());
             assertEquals("one", by(reply));
             assertEquals(ValueFactory.newArray(odd, text("b")), params(reply));
-            assertEquals(0, caller.ask("count").result().asIntegerValue().toInt());
-            assertEquals(40, caller.ask("count", many(40)).result().asIntegerValue().toInt());
+            assertEquals(0, caller.callAndWait("count").result().asIntegerValue().toInt());
+            assertEquals(40, caller.callAndWait("count", many(40)).result().asIntegerValue().toInt());
         }
     }
 
@@ -53,7 +53,7 @@
     @Test
     void anApplicationsErrorPassesThroughAndIsNotTriedAgain() throws Exception {
         try (Box box = new Box("one"); RpcRig rig = new RpcRig(config("", box.rpcOnly("one"))); RpcCaller caller = rig.caller()) {
-            Reply reply = caller.ask("fail", text("k"));
+            Reply reply = caller.callAndWait("fail", text("k"));
             assertEquals(text("failed as asked"), reply.error());
             assertTrue(reply.result().isNilValue());
             assertEquals(1, box.ledger.runs("k"));
@@ -63,9 +63,9 @@
     @Test
     void aMethodThatIsNotRoutedIsAnsweredAtOnce() throws Exception {
         try (Box box = new Box("one"); RpcRig rig = new RpcRig(config("", box.rpcOnly("one"))); RpcCaller caller = rig.caller()) {
-            assertEquals("no-method", caller.ask("nobody.knows").ownCode());
-            assertEquals("no-method", caller.ask("looks").ownCode());
-            assertTrue(caller.ask("look.").ok());
+            assertEquals("no-method", caller.callAndWait("nobody.knows").nodeErrorCode());
+            assertEquals("no-method", caller.callAndWait("looks").nodeErrorCode());
+            assertTrue(caller.callAndWait("look.").ok());
             assertEquals(1, box.ledger.served());
         }
     }
@@ -98,13 +98,13 @@
     @Test
     void theEnvelopeIsTakenOutAndServersHaveOneOfTheirOwnWhereTheyAreToldSo() throws Exception {
         try (Box box = new Box("one"); RpcRig rig = new RpcRig(config("", box.rpcOnly("one"))); RpcCaller caller = rig.caller()) {
-            Reply reply = caller.ask("keyed", RpcCaller.envelope("key", "k1", "expires", 3000, "worth", 0.3), text("x"));
+            Reply reply = caller.callAndWait("keyed", RpcCaller.envelope("key", "k1", "expires", 3000, "worth", 0.3), text("x"));
             assertEquals(ValueFactory.newArray(text("x")), params(reply));
             assertEquals(Map.of(), box.rpc.lastEnvelope());
         }
         try (Box box = new Box("one"); RpcRig rig = new RpcRig(config("rpc: {envelope: true}", box.rpcOnly("one")));
                 RpcCaller caller = rig.caller()) {
-            Reply reply = caller.ask("keyed", RpcCaller.envelope("key", "k1", "expires", 3000, "retry", true, "tenant", "t"),
+            Reply reply = caller.callAndWait("keyed", RpcCaller.envelope("key", "k1", "expires", 3000, "retry", true, "tenant", "t"),
                 text("x"));
             assertEquals(ValueFactory.newArray(text("x")), params(reply));
             assertEquals(text("k1"), box.rpc.lastEnvelope().get(text("key")));
@@ -113,7 +113,7 @@
             long left = box.rpc.lastEnvelope().get(text("expires")).asNumberValue().toLong();
             assertTrue(left > 0 && left <= 3000, "left: " + left);
             // One that says nothing has the class's deadline.
-            caller.ask("book", text("y"));
+            caller.callAndWait("book", text("y"));
             long longer = box.rpc.lastEnvelope().get(text("expires")).asNumberValue().toLong();
             assertTrue(longer > 3000 && longer <= 5000, "left: " + longer);
         }
@@ -124,7 +124,7 @@
         try (Box box = new Box("one"); RpcRig rig = new RpcRig(config("", box.rpcOnly("one"))); RpcCaller caller = rig.caller()) {
             box.frozen(true);
             long start = System.nanoTime();
-            assertEquals("late", caller.ask("book", RpcCaller.envelope("expires", 200), text("x")).ownCode());
+            assertEquals("late", caller.callAndWait("book", RpcCaller.envelope("expires", 200), text("x")).nodeErrorCode());
             long took = (System.nanoTime() - start) / 1_000_000;
             assertTrue(took >= 190 && took < 2000, "took " + took + " ms");
             box.frozen(false);
@@ -140,10 +140,10 @@
             caller.send(RpcCaller.frame(5, "book", text("second")));
             held.release();
             assertTrue(first.get(RpcRig.TIMEOUT_S, TimeUnit.SECONDS).ok());
-            caller.ended().get(RpcRig.TIMEOUT_S, TimeUnit.SECONDS);
+            caller.closed().get(RpcRig.TIMEOUT_S, TimeUnit.SECONDS);
             assertEquals(1, box.ledger.runs("first"));
             assertEquals(0, box.ledger.runs("second"));
-            assertEquals(0, caller.unexpected());
+            assertEquals(0, caller.unexpectedReplies());
         }
     }
 
@@ -165,10 +165,10 @@
             caller.send(new byte[] {(byte) 0xc1, 0, 1, 2, 3});
             CompletableFuture<Reply> after = caller.call("book", text("after"));
             assertTrue(taken.get(RpcRig.TIMEOUT_S, TimeUnit.SECONDS).ok());
-            caller.ended().get(RpcRig.TIMEOUT_S, TimeUnit.SECONDS);
+            caller.closed().get(RpcRig.TIMEOUT_S, TimeUnit.SECONDS);
             assertTrue(after.isCompletedExceptionally());
             assertEquals(0, box.ledger.runs("after"));
-            assertTrue(other.ask("book", text("other")).ok(), "nothing else is lost by it");
+            assertTrue(other.callAndWait("book", text("other")).ok(), "nothing else is lost by it");
         }
     }
 
@@ -182,7 +182,7 @@
                 (byte) 0xdb, -1, -1, -1, -1})) {
                 try (RpcCaller caller = rig.caller()) {
                     caller.send(bytes);
-                    caller.ended().get(RpcRig.TIMEOUT_S, TimeUnit.SECONDS);
+                    caller.closed().get(RpcRig.TIMEOUT_S, TimeUnit.SECONDS);
                 }
             }
             assertEquals(0, box.ledger.served());
@@ -193,8 +193,8 @@
     void parametersTooLargeAreAnswered() throws Exception {
         try (Box box = new Box("one"); RpcRig rig = new RpcRig(config("body: 16 KiB", box.rpcOnly("one")));
                 RpcCaller caller = rig.caller()) {
-            assertEquals("too-large", caller.ask("book", ValueFactory.newBinary(new byte[20_000])).ownCode());
-            assertTrue(caller.ask("book", ValueFactory.newBinary(new byte[16_000])).ok());
+            assertEquals("too-large", caller.callAndWait("book", ValueFactory.newBinary(new byte[20_000])).nodeErrorCode());
+            assertTrue(caller.callAndWait("book", ValueFactory.newBinary(new byte[16_000])).ok());
             assertEquals(1, box.ledger.served());
         }
     }
@@ -204,7 +204,7 @@
         try (Box box = new Box("one"); RpcRig rig = new RpcRig(config("body: 1 KiB", box.rpcOnly("one")));
                 RpcCaller caller = rig.caller()) {
             caller.send(new byte[] {(byte) 0x94, 0});
-            caller.ended().get(RpcRig.TIMEOUT_S, TimeUnit.SECONDS);
+            caller.closed().get(RpcRig.TIMEOUT_S, TimeUnit.SECONDS);
         }
     }
 
@@ -214,8 +214,8 @@
         try (Box box = new Box("one"); RpcRig rig = new RpcRig(config("", box.rpcOnly("one"))); RpcCaller good = rig.caller()) {
             RpcCaller caller = rig.caller();
             Value large = ValueFactory.newBinary(new byte[20_000]);
-            caller.ask("look.warm");
-            caller.reads(false);
+            caller.callAndWait("look.warm");
+            caller.reading(false);
             Thread flood = new Thread(() -> {
                 for (int i = 0; i < 3_000 && !Thread.currentThread().isInterrupted(); i++) {
                     caller.call("look.x", large);
@@ -225,14 +225,14 @@
             flood.start();
             int served = 0;
             for (int i = 0; i < 50; i++) {
-                served += good.ask("look.y").ok() ? 1 : 0;
+                served += good.callAndWait("look.y").ok() ? 1 : 0;
             }
             assertTrue(served >= 48, "others are served on: " + served + " of 50");
             // It is cut off once it has left answers unread for 5 s: what it sends after meets a closed connection.
             flood.join(TimeUnit.SECONDS.toMillis(RpcRig.TIMEOUT_S));
             assertFalse(flood.isAlive(), "the caller is still held");
             assertTrue(box.ledger.served() < 1500, "served " + box.ledger.served());
-            assertTrue(good.ask("look.y").ok());
+            assertTrue(good.callAndWait("look.y").ok());
             caller.close();
         }
     }
@@ -240,8 +240,8 @@
     @Test
     void aCallerWithNoTimeLeftIsAnsweredAndNothingIsSent() throws Exception {
         try (Box box = new Box("one"); RpcRig rig = new RpcRig(config("", box.rpcOnly("one"))); RpcCaller caller = rig.caller()) {
-            Reply reply = caller.ask("book", RpcCaller.envelope("expires", 0), text("x"));
-            assertTrue(List.of("refused", "late").contains(reply.ownCode()), reply.error().toString());
+            Reply reply = caller.callAndWait("book", RpcCaller.envelope("expires", 0), text("x"));
+            assertTrue(List.of("refused", "late").contains(reply.nodeErrorCode()), reply.error().toString());
             assertEquals(0, box.ledger.served());
         }
     }
@@ -258,7 +258,7 @@
             await(() -> box.ledger.served() == 50);
             caller.close();
             for (int i = 0; i < 20; i++) {
-                assertTrue(good.ask("look.y").ok());
+                assertTrue(good.callAndWait("look.y").ok());
             }
             assertEquals(70, box.ledger.served());
         }
@@ -270,11 +270,11 @@
     void notificationsAreSentOnAndNeverAnswered() throws Exception {
         try (Box box = new Box("one"); RpcRig rig = new RpcRig(config("", box.rpcOnly("one"))); RpcCaller caller = rig.caller()) {
             for (int i = 0; i < 100; i++) {
-                caller.tell("book", text("n" + i));
+                caller.sendNotification("book", text("n" + i));
             }
             await(() -> box.rpc.notified() == 100);
-            assertTrue(caller.ask("look.x").ok());
-            assertEquals(0, caller.unexpected());
+            assertTrue(caller.callAndWait("look.x").ok());
+            assertEquals(0, caller.unexpectedReplies());
             for (int i = 0; i < 100; i++) {
                 assertEquals(1, box.ledger.runs("n" + i));
             }
@@ -291,8 +291,8 @@
             int dropped = 0;
             // One connection to a server, so that a call is answered after what was told before it. The server that is gone is drawn at random, and rarely once it is known to be: it is by and by.
             while (dropped == 0 && told < 5_000) {
-                caller.tell("book", text("n" + told));
-                assertTrue(caller.ask("look.x").ok(), "a call fails over");
+                caller.sendNotification("book", text("n" + told));
+                assertTrue(caller.callAndWait("look.x").ok(), "a call fails over");
                 assertTrue(box.ledger.runs("n" + told) <= 1);
                 dropped += box.ledger.runs("n" + told) == 0 ? 1 : 0;
                 told++;
@@ -300,7 +300,7 @@
             assertTrue(dropped > 0, "none of " + told + " met the server that is gone");
             assertEquals(told - 1, java.util.stream.IntStream.range(0, told).map(i -> box.ledger.runs("n" + i)).sum(),
                 "what was dropped has not run later either");
-            assertEquals(0, caller.unexpected());
+            assertEquals(0, caller.unexpectedReplies());
         }
     }
 
@@ -318,12 +318,12 @@
             }
             int served = 0;
             for (int i = 0; i < 50; i++) {
-                served += good.ask("look.y").ok() ? 1 : 0;
+                served += good.callAndWait("look.y").ok() ? 1 : 0;
             }
             assertTrue(served >= 45, "served " + served + " of 50");
-            assertTrue(storm.ask("look.z").ok(), "the storm is over, and its connection lives");
-            assertEquals(0, storm.unexpected());
-            assertNull(storm.ask("look.z").ownCode());
+            assertTrue(storm.callAndWait("look.z").ok(), "the storm is over, and its connection lives");
+            assertEquals(0, storm.unexpectedReplies());
+            assertNull(storm.callAndWait("look.z").nodeErrorCode());
         }
     }
 }
--- a/src/test/java/onyxpaddle/serve/RpcRig.java
+++ b/src/test/java/onyxpaddle/serve/RpcRig.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.concurrent.TimeUnit;
-import onyxpaddle.standin.Ledger;
+import onyxpaddle.standin.ExecutionCounter;
 import onyxpaddle.standin.RpcCaller;
 import onyxpaddle.standin.StandInRpcServer;
 import onyxpaddle.standin.StandInServer;
@@ -16,7 +16,7 @@
 
     /** A server that both protocols reach, with one ledger. */
     static final class Box implements AutoCloseable {
-        final Ledger ledger = new Ledger();
+        final ExecutionCounter ledger = new ExecutionCounter();
         final StandInServer http;
         final StandInRpcServer rpc;
         private boolean stopped;
--- a/src/test/java/onyxpaddle/serve/RpcUpstreamTest.java
+++ b/src/test/java/onyxpaddle/serve/RpcUpstreamTest.java
@@ -39,14 +39,14 @@
     void aBookingWhoseReplyIsLostNeverRunsTwice() throws Exception {
         try (Box one = new Box("one"); Box two = new Box("two");
                 RpcRig rig = new RpcRig(config("", one.rpcOnly("one"), two.rpcOnly("two"))); RpcCaller caller = rig.caller()) {
-            one.rpc.faults(FaultScript.drawn(1, 0, Map.of(Fault.LOSE_REPLY, 1.0)));
-            two.rpc.faults(FaultScript.drawn(2, 0, Map.of(Fault.LOSE_REPLY, 1.0)));
+            one.rpc.faults(FaultScript.random(1, 0, Map.of(Fault.LOSE_REPLY, 1.0)));
+            two.rpc.faults(FaultScript.random(2, 0, Map.of(Fault.LOSE_REPLY, 1.0)));
             List<CompletableFuture<Reply>> replies = new ArrayList<>();
             for (int i = 0; i < 40; i++) {
                 replies.add(caller.call("short", text("lost" + i)));
             }
             for (int i = 0; i < 40; i++) {
-                String code = get(replies.get(i)).ownCode();
+                String code = get(replies.get(i)).nodeErrorCode();
                 assertTrue(List.of("late", "failed").contains(code), code);
                 assertEquals(1, one.ledger.runs("lost" + i) + two.ledger.runs("lost" + i));
             }
@@ -59,8 +59,8 @@
     void noCallHasAnothersAnswer(Fault fault) throws Exception {
         try (Box one = new Box("one"); Box two = new Box("two");
                 RpcRig rig = new RpcRig(config("", one.rpcOnly("one"), two.rpcOnly("two"))); RpcCaller caller = rig.caller()) {
-            one.rpc.faults(FaultScript.drawn(7, 600, Map.of(fault, 0.2)));
-            two.rpc.faults(FaultScript.drawn(8, 600, Map.of(fault, 0.2)));
+            one.rpc.faults(FaultScript.random(7, 600, Map.of(fault, 0.2)));
+            two.rpc.faults(FaultScript.random(8, 600, Map.of(fault, 0.2)));
             int ok = 0;
             for (int round = 0; round < 5; round++) {
                 List<CompletableFuture<Reply>> replies = new ArrayList<>();
@@ -75,12 +75,12 @@
                     int runs = one.ledger.runs(key) + two.ledger.runs(key);
                     assertTrue(runs <= 1, key + " ran " + runs + " times");
                     assertTrue(!reply.ok() || runs == 1);
-                    assertTrue(!"refused".equals(reply.ownCode()) || runs == 0, key + " ran and was refused");
+                    assertTrue(!"refused".equals(reply.nodeErrorCode()) || runs == 0, key + " ran and was refused");
                 }
             }
             // A stall takes all that comes after it on its connection, too: few are left of those calls.
             assertTrue(ok >= 5, "ok: " + ok);
-            assertEquals(0, caller.unexpected());
+            assertEquals(0, caller.unexpectedReplies());
         }
     }
 
@@ -88,8 +88,8 @@
     @Test
     void aLateReplyAnswersNobody() throws Exception {
         try (Box box = new Box("one"); RpcRig rig = new RpcRig(config("", box.rpcOnly("one"))); RpcCaller caller = rig.caller()) {
-            box.rpc.faults(FaultScript.listed(700, Fault.DELAY));
-            assertEquals("late", get(caller.call(1, "short", text("slow"))).ownCode());
+            box.rpc.faults(FaultScript.sequence(700, Fault.DELAY));
+            assertEquals("late", get(caller.call(1, "short", text("slow"))).nodeErrorCode());
             box.rpc.delay(400, 0);
             List<CompletableFuture<Reply>> replies = new ArrayList<>();
             for (int i = 1; i <= 50; i++) {
@@ -101,7 +101,7 @@
                 assertOwn("next" + i, reply);
             }
             assertEquals(1, box.ledger.runs("slow"));
-            assertEquals(0, caller.unexpected());
+            assertEquals(0, caller.unexpectedReplies());
         }
     }
 
@@ -114,7 +114,7 @@
         try (Box one = new Box("one"); Box two = new Box("two");
                 RpcRig rig = new RpcRig(config("rpc: {connections: 1, calls: 100}", one.rpcOnly("one")));
                 RpcCaller caller = rig.caller()) {
-            assertTrue(caller.ask("look.warm").ok());
+            assertTrue(caller.callAndWait("look.warm").ok());
             one.frozen(true);
             List<CompletableFuture<Reply>> replies = new ArrayList<>();
             for (int i = 0; i < 100; i++) {
@@ -124,7 +124,7 @@
             assertNull(rig.node.change(SidecarRig.config(both)).get(RpcRig.TIMEOUT_S, TimeUnit.SECONDS));
             // All has been handed to the node once a call that came behind it has its final word, whatever that is: where the other box
             // answers late, the 20 ms that a node waits for one attempt go by, and the call is refused.
-            caller.ask("look.after");
+            caller.callAndWait("look.after");
             one.rpc.breakConnections();
             one.frozen(false);
             int ok = 0;
@@ -134,9 +134,9 @@
                 assertOwn("b" + i, reply);
                 int runs = one.ledger.runs("b" + i) + two.ledger.runs("b" + i);
                 assertTrue(runs <= 1, "b" + i + " ran " + runs + " times");
-                assertTrue(!"refused".equals(reply.ownCode()) || runs == 0);
+                assertTrue(!"refused".equals(reply.nodeErrorCode()) || runs == 0);
                 ok += reply.ok() ? 1 : 0;
-                failed += "failed".equals(reply.ownCode()) ? 1 : 0;
+                failed += "failed".equals(reply.nodeErrorCode()) ? 1 : 0;
             }
             assertTrue(ok > 0 && failed > 0, ok + " ok, " + failed + " failed");
         }
@@ -148,11 +148,11 @@
                 RpcRig rig = new RpcRig(config("", one.rpcOnly("one"), two.rpcOnly("two"))); RpcCaller caller = rig.caller()) {
             one.rpc.refuses(true);
             for (int i = 0; i < 30; i++) {
-                assertTrue(caller.ask("book", text("b" + i)).ok());
+                assertTrue(caller.callAndWait("book", text("b" + i)).ok());
                 assertEquals(1, two.ledger.runs("b" + i));
             }
             two.rpc.refuses(true);
-            assertEquals("refused", caller.ask("book", text("last")).ownCode());
+            assertEquals("refused", caller.callAndWait("book", text("last")).nodeErrorCode());
             assertEquals(0, one.ledger.served());
         }
     }
@@ -170,7 +170,7 @@
             for (int i = 0; i < 30; i++) {
                 Reply reply = get(replies.get(i));
                 ok += reply.ok() ? 1 : 0;
-                assertTrue(reply.ok() || "refused".equals(reply.ownCode()));
+                assertTrue(reply.ok() || "refused".equals(reply.nodeErrorCode()));
                 assertEquals(reply.ok() ? 1 : 0, box.ledger.runs("b" + i));
             }
             assertTrue(ok >= 8, "ok: " + ok);
@@ -199,19 +199,19 @@
         try (Box one = new Box("one"); Box two = new Box("two");
                 RpcRig rig = new RpcRig(config("", one.rpcOnly("one"), two.rpcOnly("two"))); RpcCaller caller = rig.caller()) {
             for (int i = 0; i < 50; i++) {
-                assertTrue(caller.ask("look.x").ok());
+                assertTrue(caller.callAndWait("look.x").ok());
             }
             one.frozen(true);
             int ok = 0;
             for (int i = 0; i < 100; i++) {
-                ok += caller.ask("short", text("s" + i)).ok() ? 1 : 0;
+                ok += caller.callAndWait("short", text("s" + i)).ok() ? 1 : 0;
             }
             // Half would be what a node does that goes on sending to both.
             assertTrue(ok >= 60, "served beside a stalled box: " + ok + " of 100");
             one.frozen(false);
             long before = one.ledger.served();
             await(() -> {
-                caller.ask("look.x");
+                caller.callAndWait("look.x");
                 return one.ledger.served() > before + 30;
             });
             for (int i = 0; i < 100; i++) {
@@ -233,7 +233,7 @@
             String draining = config("", one.rpcOnly("one").replace("}", ", state: draining}"), two.rpcOnly("two"));
             assertNull(rig.node.change(SidecarRig.config(draining)).get(RpcRig.TIMEOUT_S, TimeUnit.SECONDS));
             for (int i = 0; i < 50; i++) {
-                assertTrue(caller.ask("book", text("new" + i)).ok());
+                assertTrue(caller.callAndWait("book", text("new" + i)).ok());
                 assertEquals(0, one.ledger.runs("new" + i));
             }
             for (CompletableFuture<Reply> reply : open) {
@@ -247,10 +247,10 @@
     void aServerThatRestartsIsReachedAgain() throws Exception {
         try (Box one = new Box("one"); RpcRig rig = new RpcRig(config("", one.rpcOnly("one"))); RpcCaller caller = rig.caller()) {
             for (int i = 0; i < 5; i++) {
-                assertTrue(caller.ask("look.x").ok());
+                assertTrue(caller.callAndWait("look.x").ok());
                 one.rpc.breakConnections();
             }
-            await(() -> caller.ask("look.y").ok());
+            await(() -> caller.callAndWait("look.y").ok());
         }
     }
 
@@ -258,10 +258,10 @@
     void idleConnectionsAreClosed() throws Exception {
         try (Box one = new Box("one"); RpcRig rig = new RpcRig(config("keep-alive: 300 ms", one.rpcOnly("one")));
                 RpcCaller caller = rig.caller()) {
-            assertTrue(caller.ask("look.x").ok());
+            assertTrue(caller.callAndWait("look.x").ok());
             assertEquals(1, one.rpc.openConnections());
             await(() -> one.rpc.openConnections() == 0);
-            assertTrue(caller.ask("look.x").ok());
+            assertTrue(caller.callAndWait("look.x").ok());
         }
     }
 }
--- a/src/test/java/onyxpaddle/serve/SharedServersTest.java
+++ b/src/test/java/onyxpaddle/serve/SharedServersTest.java
@@ -64,7 +64,7 @@
     @Test
     void eachProtocolGoesByItsOwnWhereTheServerSpeaksBoth() throws Exception {
         try (Box box = new Box("one"); RpcRig rig = new RpcRig(config("", box.bothProtocols("one"))); RpcCaller caller = rig.caller()) {
-            Reply reply = caller.ask("look.x", text("a"));
+            Reply reply = caller.callAndWait("look.x", text("a"));
             assertEquals(text("one"), reply.result().asMapValue().map().get(text("by")));
             HttpResponse<byte[]> answer = post(rig, "/visits", "plain".getBytes(), "X-Effect", "h1");
             // The body is no array of MessagePack, which a route with a procedure asks for: such a server may be drawn.
@@ -79,15 +79,15 @@
     @Test
     void callsGoToServersOfHttp() throws Exception {
         try (Box box = new Box("one"); RpcRig rig = new RpcRig(config("", box.httpOnly("one"))); RpcCaller caller = rig.caller()) {
-            Reply reply = caller.ask("book", text("a"), ValueFactory.newInteger(7));
+            Reply reply = caller.callAndWait("book", text("a"), ValueFactory.newInteger(7));
             assertTrue(reply.ok());
             // The stand-in answers in plain text, which is a binary result; the body was the array as it came.
             byte[] result = reply.result().asBinaryValue().asByteArray();
             assertEquals("one POST /visits 4 bytes\n", new String(result));
             assertEquals("one POST /look/slots 1 bytes\n",
-                new String(caller.ask("lookslots").result().asBinaryValue().asByteArray()));
+                new String(caller.callAndWait("lookslots").result().asBinaryValue().asByteArray()));
             box.http.refuses(true);
-            assertEquals("refused", caller.ask("book", text("a")).ownCode());
+            assertEquals("refused", caller.callAndWait("book", text("a")).nodeErrorCode());
         }
     }
 
@@ -96,7 +96,7 @@
         try (Box box = new Box("one");
                 RpcRig rig = new RpcRig(config("", box.httpOnly("one"))); RpcCaller caller = rig.caller()) {
             box.http.status(404);
-            Reply reply = caller.ask("book", text("a"));
+            Reply reply = caller.callAndWait("book", text("a"));
             MapValue http = reply.error().asMapValue().map().get(text("http")).asMapValue();
             assertEquals(404, http.map().get(text("status")).asIntegerValue().toInt());
             assertEquals(text("text/plain"), http.map().get(text("type")));
@@ -137,7 +137,7 @@
         try (Box one = new Box("one"); Box two = new Box("two");
                 RpcRig rig = new RpcRig(config("", one.bothProtocols("one"), two.bothProtocols("two"))); RpcCaller caller = rig.caller()) {
             for (int i = 0; i < 100; i++) {
-                assertTrue(caller.ask("look.x").ok());
+                assertTrue(caller.callAndWait("look.x").ok());
             }
             // Box one is full of bookings of HTTP, which stand still; calls should go to box two.
             one.frozen(true);
@@ -228,12 +228,12 @@
             List<CompletableFuture<Reply>> late = new ArrayList<>();
             await(() -> {
                 late.add(caller.call("book", text("late")));
-                return late.stream().anyMatch(reply -> reply.isDone() && "refused".equals(reply.join().ownCode()));
+                return late.stream().anyMatch(reply -> reply.isDone() && "refused".equals(reply.join().nodeErrorCode()));
             });
             for (CompletableFuture<Reply> reply : taken) {
                 assertTrue(reply.get(RpcRig.TIMEOUT_S, TimeUnit.SECONDS).ok());
             }
-            caller.ended().get(RpcRig.TIMEOUT_S, TimeUnit.SECONDS);
+            caller.closed().get(RpcRig.TIMEOUT_S, TimeUnit.SECONDS);
             drain.join(TimeUnit.SECONDS.toMillis(RpcRig.TIMEOUT_S));
             assertTrue(!drain.isAlive(), "the drain goes on");
         }
@@ -243,12 +243,12 @@
     @Test
     void aListenerThatGoesAtAReload() throws Exception {
         try (Box box = new Box("one"); RpcRig rig = new RpcRig(config("", box.bothProtocols("one"))); RpcCaller caller = rig.caller()) {
-            assertTrue(caller.ask("book", text("a")).ok());
+            assertTrue(caller.callAndWait("book", text("a")).ok());
             String without = config("", box.bothProtocols("one")).replaceAll("(?s)procedures:.*", "")
                 .replaceAll("  in: [^\\n]*\\n", "");
             assertNull(rig.node.change(SidecarRig.config(without)).get(RpcRig.TIMEOUT_S, TimeUnit.SECONDS));
-            assertTrue(caller.ask("book", text("b")).ok(), "it was connected before");
-            caller.ended().get(RpcRig.TIMEOUT_S, TimeUnit.SECONDS);
+            assertTrue(caller.callAndWait("book", text("b")).ok(), "it was connected before");
+            caller.closed().get(RpcRig.TIMEOUT_S, TimeUnit.SECONDS);
             await(() -> rig.node.retiringCount() == 0);
         }
     }
--- a/src/test/java/onyxpaddle/serve/SidecarOperationsTest.java
+++ b/src/test/java/onyxpaddle/serve/SidecarOperationsTest.java
@@ -116,7 +116,7 @@
                 box.nextRequest();
                 assertEquals(0, command(node, "drain").code());
                 assertNull(idle.readAnswer(), "an idle connection is closed");
-                caller.ended().get(Loopback.TIMEOUT_MS, java.util.concurrent.TimeUnit.MILLISECONDS);
+                caller.closed().get(Loopback.TIMEOUT_MS, java.util.concurrent.TimeUnit.MILLISECONDS);
                 box.answers.add(Loopback.ok("taken"));
                 assertEquals("200 taken", busy.readAnswer(), "what was taken is answered");
                 assertNull(busy.readAnswer(), "and its connection closed");
@@ -150,7 +150,7 @@
                     assertTrue(client.send(GET).readAnswer().startsWith("200 one "), "what was taken out stays out");
                 }
                 try (RpcCaller caller = new RpcCaller(next.address("calls"))) {
-                    assertFalse(caller.ask("nothing").ok(), "the second one answers calls");
+                    assertFalse(caller.callAndWait("nothing").ok(), "the second one answers calls");
                 }
             }
             next.stop();
--- a/src/test/java/onyxpaddle/sidecar/Case.java
+++ b/src/test/java/onyxpaddle/sidecar/EditCase.java
@@ -6,17 +6,17 @@
 import java.util.List;
 
 /** Broken files as edits of a sound one: `<` what is replaced, `>` by what, `!` each fault that must be told for it. */
-record Case(String name, String before, String after, List<String> faults) {
+record EditCase(String name, String before, String after, List<String> faults) {
     static String resource(String name) {
-        try (var in = Case.class.getResourceAsStream(name)) {
+        try (var in = EditCase.class.getResourceAsStream(name)) {
             return new String(in.readAllBytes(), StandardCharsets.UTF_8);
         } catch (IOException e) {
             throw new java.io.UncheckedIOException(e);
         }
     }
 
-    static List<Case> all(String resource) {
-        List<Case> cases = new ArrayList<>();
+    static List<EditCase> all(String resource) {
+        List<EditCase> cases = new ArrayList<>();
         for (String block : resource(resource).split("\n(?=# )")) {
             List<String> old = new ArrayList<>();
             List<String> now = new ArrayList<>();
@@ -30,7 +30,7 @@
                     faults.add(line.substring(2));
                 }
             }
-            cases.add(new Case(block.lines().findFirst().orElse("").substring(2), String.join("\n", old),
+            cases.add(new EditCase(block.lines().findFirst().orElse("").substring(2), String.join("\n", old),
                 String.join("\n", now), faults));
         }
         return cases;
--- a/src/test/java/onyxpaddle/sidecar/BrokenFilesTest.java
+++ b/src/test/java/onyxpaddle/sidecar/InvalidFilesTest.java
@@ -20,17 +20,17 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /** Each broken file is refused for what is wrong with it, at its place, and for nothing else. */
-class BrokenFilesTest {
+class InvalidFilesTest {
     static final MachineLimits MACHINE = new MachineLimits(4096, 1L << 30);
     @TempDir
     Path folder;
 
-    static Stream<Case> descriptions() {
-        return Case.all("broken-descriptions.txt").stream();
+    static Stream<EditCase> descriptions() {
+        return EditCase.all("broken-descriptions.txt").stream();
     }
 
-    static Stream<Case> configurations() {
-        return Case.all("broken-configurations.txt").stream();
+    static Stream<EditCase> configurations() {
+        return EditCase.all("broken-configurations.txt").stream();
     }
 
     private List<String> faults(String... texts) throws IOException {
@@ -42,40 +42,40 @@
     }
 
     private List<String> faults(List<Path> files) {
-        return Checked.of(files, MACHINE).faults.list().stream().map(Fault::toString)
+        return CheckedFiles.of(files, MACHINE).faults.list().stream().map(Fault::toString)
             .map(text -> text.replace(folder + "/", "").replaceFirst("^f0\\.yaml:? ?", "")).toList();
     }
 
     @ParameterizedTest
     @MethodSource("descriptions")
-    void brokenDescription(Case broken) throws IOException {
-        assertEquals(broken.faults(), faults(broken.applied(Case.resource("description.yaml"))));
+    void brokenDescription(EditCase broken) throws IOException {
+        assertEquals(broken.faults(), faults(broken.applied(EditCase.resource("description.yaml"))));
     }
 
     @ParameterizedTest
     @MethodSource("configurations")
-    void brokenConfiguration(Case broken) throws IOException {
-        assertEquals(broken.faults(), faults(broken.applied(Case.resource("configuration.yaml"))));
+    void brokenConfiguration(EditCase broken) throws IOException {
+        assertEquals(broken.faults(), faults(broken.applied(EditCase.resource("configuration.yaml"))));
     }
 
     @Test
     void thereAreAsManyAsIsSaidAndTheSoundOnesAreSound() throws IOException {
         assertTrue(descriptions().count() >= 60 && configurations().count() >= 20);
         assertTrue(Stream.concat(descriptions(), configurations()).noneMatch(c -> c.faults().isEmpty()));
-        assertEquals(List.of(), faults(Case.resource("description.yaml")));
-        assertEquals(List.of(), faults(Case.resource("configuration.yaml")));
+        assertEquals(List.of(), faults(EditCase.resource("description.yaml")));
+        assertEquals(List.of(), faults(EditCase.resource("configuration.yaml")));
     }
 
     @Test
     void allFaultsAreToldInOneRun() throws IOException {
-        String text = Case.resource("description.yaml").replace("effect: safe\n", "effect: save\n")
+        String text = EditCase.resource("description.yaml").replace("effect: safe\n", "effect: save\n")
             .replace("port: 9101", "port: 8081").replace("tenant", "tennant").replace("memory: 64 MiB", "memory: 64");
         assertEquals(List.of("2", "9", "20", "28"), faults(text).stream().map(f -> f.substring(0, f.indexOf(':'))).toList());
     }
 
     @Test
     void applicationsOfOneMachineAreCheckedTogether() throws IOException {
-        String one = Case.resource("description.yaml");
+        String one = EditCase.resource("description.yaml");
         String two = one.replace("application: booking", "application: billing").replace("port: 8081", "port: 8082")
             .replace("inbound: 127.0.0.1:8080", "inbound: 0.0.0.0:9101").replace("port: 9101", "port: 9201")
             .replaceFirst("(?s)    servers:.*?weight: 2}\n", "").replace("  records:", "  bookin:");
@@ -90,7 +90,7 @@
             "f1.yaml:20:5: calls.booking: the application calls itself through its own node; call its own port 8082"),
             faults(one, same));
         assertEquals(List.of(), faults(one, same.replace("application: booking", "application: billing")));
-        String config = Case.resource("configuration.yaml");
+        String config = EditCase.resource("configuration.yaml");
         assertEquals(2, faults(config, config).size());
     }
 
--- a/src/test/java/onyxpaddle/sidecar/MutatedKeysTest.java
+++ b/src/test/java/onyxpaddle/sidecar/MutatedKeysTest.java
@@ -12,13 +12,13 @@
 import java.util.stream.Stream;
 import onyxpaddle.config.Fault;
 import onyxpaddle.config.Faults;
-import onyxpaddle.config.NodeShape;
-import onyxpaddle.config.Shape;
-import onyxpaddle.config.Shape.Key;
-import onyxpaddle.config.Shape.ListOf;
-import onyxpaddle.config.Shape.MapOf;
-import onyxpaddle.config.Shape.Section;
-import onyxpaddle.config.Shape.ShortOr;
+import onyxpaddle.config.NodeSchema;
+import onyxpaddle.config.Schema;
+import onyxpaddle.config.Schema.Key;
+import onyxpaddle.config.Schema.ListOf;
+import onyxpaddle.config.Schema.MapOf;
+import onyxpaddle.config.Schema.Section;
+import onyxpaddle.config.Schema.ScalarOrSection;
 import onyxpaddle.config.SourceFile;
 import onyxpaddle.config.Value;
 import onyxpaddle.config.Value.Mapping;
@@ -33,7 +33,7 @@
  * its line, but for a removal of what the shape calls optional.
  */
 class MutatedKeysTest {
-    private enum Slip { NONE, MISSPELT, DOUBLED, OTHER_TYPE, REMOVED }
+    private enum Mutation { NONE, MISSPELT, DOUBLED, OTHER_TYPE, REMOVED }
 
     /** An example and its shape. */
     record Example(String name, String text, Section shape) {
@@ -48,13 +48,13 @@
 
     static Stream<Example> examples() throws IOException {
         List<Example> all = new ArrayList<>();
-        String base = Case.resource("description.yaml");
-        Case.all("good-descriptions.txt").forEach(c -> all.add(new Example(c.name(), c.applied(base), DescriptionShape.ALL)));
+        String base = EditCase.resource("description.yaml");
+        EditCase.all("good-descriptions.txt").forEach(c -> all.add(new Example(c.name(), c.applied(base), DescriptionShape.ALL)));
         all.add(new Example("booking", Files.readString(Path.of("deploy/examples/booking.yaml")), DescriptionShape.ALL));
         all.add(new Example("records", Files.readString(Path.of("deploy/examples/records.yaml")), DescriptionShape.ALL));
-        all.add(new Example("announced", Files.readString(Path.of("deploy/bgp/booking.node.yaml")), NodeShape.NODE));
-        all.add(new Example("configuration of procedures", Case.resource("procedures.yaml"), NodeShape.NODE));
-        all.add(new Example("configuration", Case.resource("configuration.yaml"), NodeShape.NODE));
+        all.add(new Example("announced", Files.readString(Path.of("deploy/bgp/booking.node.yaml")), NodeSchema.NODE));
+        all.add(new Example("configuration of procedures", EditCase.resource("procedures.yaml"), NodeSchema.NODE));
+        all.add(new Example("configuration", EditCase.resource("configuration.yaml"), NodeSchema.NODE));
         return all.stream();
     }
 
@@ -62,11 +62,11 @@
     private static final class Writer {
         private final StringBuilder out = new StringBuilder();
         private final String at;
-        private final Slip slip;
+        private final Mutation slip;
         private int line = 1;
         private int slipLine;
 
-        Writer(String at, Slip slip) {
+        Writer(String at, Mutation slip) {
             this.at = at;
             this.slip = slip;
         }
@@ -90,20 +90,20 @@
 
         private void key(Mapping mapping, String name, Value value) {
             boolean here = (mapping.path().isEmpty() ? name : mapping.path() + "." + name).equals(at);
-            if (here && slip == Slip.REMOVED) {
+            if (here && slip == Mutation.REMOVED) {
                 return;
             }
             out.append('\n');
             line++;
             slipLine = here ? line : slipLine;
-            out.append('"').append(here && slip == Slip.MISSPELT ? name + "qx" : name).append("\": ");
-            if (here && slip == Slip.OTHER_TYPE) {
+            out.append('"').append(here && slip == Mutation.MISSPELT ? name + "qx" : name).append("\": ");
+            if (here && slip == Mutation.OTHER_TYPE) {
                 out.append(value instanceof Scalar ? "{other: type}" : "type");
             } else {
                 value(value);
             }
             out.append(',');
-            if (here && slip == Slip.DOUBLED) {
+            if (here && slip == Mutation.DOUBLED) {
                 out.append('\n');
                 line++;
                 slipLine = line;
@@ -115,9 +115,9 @@
     }
 
     /** The keys of a tree with what the shape says of each; names that people choose are left out. */
-    private static void keys(Value value, Shape shape, Map<String, Key> into) {
-        if (shape instanceof ShortOr either) {
-            keys(value, value instanceof Mapping ? either.full() : either.brief(), into);
+    private static void keys(Value value, Schema shape, Map<String, Key> into) {
+        if (shape instanceof ScalarOrSection either) {
+            keys(value, value instanceof Mapping ? either.section() : either.scalar(), into);
         } else if (value instanceof Sequence sequence && shape instanceof ListOf list) {
             sequence.items().forEach(item -> keys(item, list.item(), into));
         } else if (value instanceof Mapping mapping && shape instanceof MapOf map) {
@@ -126,14 +126,14 @@
             mapping.values().forEach((name, below) -> {
                 Key key = section.keys().stream().filter(k -> k.name().equals(name)).findFirst().orElseThrow();
                 into.put(below.path(), key);
-                keys(below, key.shape(), into);
+                keys(below, key.schema(), into);
             });
         }
     }
 
     private List<Fault> faults(String text) throws IOException {
         Path file = Files.writeString(folder.resolve("m.yaml"), text);
-        return Checked.of(List.of(file), BrokenFilesTest.MACHINE).faults.list();
+        return CheckedFiles.of(List.of(file), InvalidFilesTest.MACHINE).faults.list();
     }
 
     @ParameterizedTest
@@ -143,16 +143,16 @@
         Map<String, Key> keys = new java.util.LinkedHashMap<>();
         keys(tree, example.shape(), keys);
         assertTrue(keys.size() >= 15, "too few keys to mean anything: " + keys.size());
-        Writer sound = new Writer("", Slip.NONE);
+        Writer sound = new Writer("", Mutation.NONE);
         sound.value(tree);
         assertEquals(List.of(), faults(sound.out + "\n"));
         for (Map.Entry<String, Key> key : keys.entrySet()) {
-            for (Slip slip : List.of(Slip.MISSPELT, Slip.DOUBLED, Slip.OTHER_TYPE, Slip.REMOVED)) {
+            for (Mutation slip : List.of(Mutation.MISSPELT, Mutation.DOUBLED, Mutation.OTHER_TYPE, Mutation.REMOVED)) {
                 Writer writer = new Writer(key.getKey(), slip);
                 writer.value(tree);
                 List<Fault> faults = faults(writer.out + "\n");
                 String what = example.name() + ", " + key.getKey() + " " + slip + ": " + faults;
-                if (slip == Slip.REMOVED) {
+                if (slip == Mutation.REMOVED) {
                     assertTrue(!faults.isEmpty() || !key.getValue().required(), what);
                 } else {
                     assertTrue(faults.stream().anyMatch(f -> f.place().line() == writer.slipLine), what);
--- a/src/test/java/onyxpaddle/sidecar/RpcCommandTest.java
+++ b/src/test/java/onyxpaddle/sidecar/RpcCommandTest.java
@@ -7,7 +7,7 @@
 import java.io.StringWriter;
 import onyxpaddle.standin.FaultScript;
 import onyxpaddle.standin.FaultScript.Fault;
-import onyxpaddle.standin.Ledger;
+import onyxpaddle.standin.ExecutionCounter;
 import onyxpaddle.standin.StandInRpcServer;
 import org.junit.jupiter.api.Test;
 
@@ -22,7 +22,7 @@
 
     @Test
     void callsAServer() throws Exception {
-        try (StandInRpcServer server = new StandInRpcServer("one", 0, new Ledger())) {
+        try (StandInRpcServer server = new StandInRpcServer("one", 0, new ExecutionCounter())) {
             String at = server.hostPort();
             assertEquals(0, run("call", at, "look"));
             assertEquals("{\"by\":\"one\",\"method\":\"look\",\"params\":[]}\n", out.toString());
@@ -42,7 +42,7 @@
             while (server.notified() == before) {
                 Thread.onSpinWait();
             }
-            server.faults(FaultScript.listed(0, Fault.LOSE_REPLY, Fault.CUT_SHORT));
+            server.faults(FaultScript.sequence(0, Fault.LOSE_REPLY, Fault.CUT_SHORT));
             assertEquals(1, run("call", at, "look", "--timeout", "1"));
             assertEquals(1, run("call", at, "look"));
         }
--- a/src/test/java/onyxpaddle/sidecar/GoodFilesTest.java
+++ b/src/test/java/onyxpaddle/sidecar/ValidFilesTest.java
@@ -19,35 +19,35 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /** Each good description is written, the written one checked and started, and it serves over loopback. */
-class GoodFilesTest {
+class ValidFilesTest {
     @TempDir
     Path folder;
     private final StringWriter out = new StringWriter();
     private final StringWriter err = new StringWriter();
 
-    static Stream<Case> good() {
-        return Case.all("good-descriptions.txt").stream();
+    static Stream<EditCase> good() {
+        return EditCase.all("good-descriptions.txt").stream();
     }
 
     private int run(String... args) {
-        return SidecarCommand.run(args, new PrintWriter(out), new PrintWriter(err), BrokenFilesTest.MACHINE);
+        return SidecarCommand.run(args, new PrintWriter(out), new PrintWriter(err), InvalidFilesTest.MACHINE);
     }
 
-    private Path description(Case good) throws IOException {
-        return Files.writeString(folder.resolve("d.yaml"), good.applied(Case.resource("description.yaml")));
+    private Path description(EditCase good) throws IOException {
+        return Files.writeString(folder.resolve("d.yaml"), good.applied(EditCase.resource("description.yaml")));
     }
 
     @ParameterizedTest
     @MethodSource("good")
-    void isWrittenCheckedStartedAndServes(Case good) throws Exception {
+    void isWrittenCheckedStartedAndServes(EditCase good) throws Exception {
         Path file = description(good);
         Path nodes = folder.resolve("nodes");
         assertEquals(0, run("write", file.toString(), "--out", nodes.toString()), err::toString);
         assertEquals(0, run("check", nodes.toString()), err::toString);
-        Checked checked = Checked.of(List.of(file), BrokenFilesTest.MACHINE);
-        try (Trial trial = new Trial(checked.descriptions.get(0))) {
-            List<Trial.Asked> asked = trial.ask();
-            assertTrue(asked.size() >= 4 && Trial.sound(asked), asked::toString);
+        CheckedFiles checked = CheckedFiles.of(List.of(file), InvalidFilesTest.MACHINE);
+        try (LoopbackTrial trial = new LoopbackTrial(checked.descriptions.get(0))) {
+            List<LoopbackTrial.TrialRequest> asked = trial.ask();
+            assertTrue(asked.size() >= 4 && LoopbackTrial.sound(asked), asked::toString);
         }
     }
 
@@ -72,7 +72,7 @@
         Path nodes = folder.resolve("nodes");
         assertEquals(0, run("write", "deploy/examples/records.yaml", "--out", nodes.toString()), err::toString);
         Path file = nodes.resolve("partner-records.node.yaml");
-        NodeConfig config = Checked.of(List.of(file), BrokenFilesTest.MACHINE).configs.get(file);
+        NodeConfig config = CheckedFiles.of(List.of(file), InvalidFilesTest.MACHINE).configs.get(file);
         Map<String, String> lines = Explanation.of(config, "CALL", URI.create("rpc://h:7300/patient.read"), Map.of());
         assertEquals("in--look-up (patient.*)", lines.get("procedure"));
         assertEquals("1 s, or `expires` of its envelope if that is sooner", lines.get("deadline"));
@@ -112,8 +112,8 @@
 
     @Test
     void explanationNamesTheRouteAndWhyTheOthersLost() throws Exception {
-        Path file = Files.writeString(folder.resolve("c.yaml"), Case.resource("configuration.yaml"));
-        NodeConfig config = Checked.of(List.of(file), BrokenFilesTest.MACHINE).configs.get(file);
+        Path file = Files.writeString(folder.resolve("c.yaml"), EditCase.resource("configuration.yaml"));
+        NodeConfig config = CheckedFiles.of(List.of(file), InvalidFilesTest.MACHINE).configs.get(file);
         Map<String, String> lines = Explanation.of(config, "GET", URI.create("http://h:8080/slots/4?x=1"), Map.of());
         assertEquals("look (path /slots, method GET)", lines.get("route"));
         assertEquals("/slots/4?x=1", lines.get("goes on as"));
