--- a/src/test/java/onyxpaddle/serve/OmittedServerTest.java
+++ b/src/test/java/onyxpaddle/serve/OmittedServerTest.java
@@ -12,15 +12,18 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** A server that drains may be left out of a whole list and told by no change: it is gone, also where it still answers. */
+/**
+ * Guards against sending requests to a server that a full list omits without an earlier change to draining: such a server is gone, even if
+ * it still answers.
+ */
 class OmittedServerTest {
-    /** How the whole list comes that leaves the server out. */
+    /** How the full list that omits the server arrives. */
     enum Form {
         NEWER(2), INDENTED(2),
-        /** Of the version that is held: its changes did not count as new. */
+        /** The list has the version that the node already has, so that a comparison of versions finds nothing new. */
         SAME_VERSION(1),
-        /** The watch ends in place of telling, and the call after it is answered with the whole list. */
-        AFTER_A_WATCH_THAT_ENDS(2);
+        /** The watch is closed without an answer, and the next call is answered with the full list. */
+        AFTER_A_CLOSED_WATCH(2);
 
         private final int version;
 
@@ -28,9 +31,9 @@
             this.version = version;
         }
 
-        private Step[] steps(FakeServer stays) {
-            Step list = new SendList(this == INDENTED ? indented(Loopback.list(version, stays)) : Loopback.list(version, stays));
-            return this == AFTER_A_WATCH_THAT_ENDS ? new Step[] {new CloseConnection(), list} : new Step[] {list};
+        private Step[] listSteps(FakeServer remaining) {
+            Step list = new SendList(this == INDENTED ? indented(Loopback.list(version, remaining)) : Loopback.list(version, remaining));
+            return this == AFTER_A_CLOSED_WATCH ? new Step[] {new CloseConnection(), list} : new Step[] {list};
         }
 
         private static String indented(String json) {
@@ -40,37 +43,38 @@
 
     @ParameterizedTest
     @EnumSource(Form.class)
-    void serverThatAWholeListLeavesOutGetsNothingMore(Form form) throws Exception {
-        try (FakeServer leaves = new FakeServer("s1"); FakeServer stays = new FakeServer("s2");
-                ScriptedDiscovery discovery = new ScriptedDiscovery(new SendList(Loopback.list(1, leaves, stays)))) {
-            Node node = discovery.startNode(leaves, stays);
+    void serverOmittedFromAFullListGetsNoFurtherRequests(Form form) throws Exception {
+        try (FakeServer omitted = new FakeServer("s1"); FakeServer remaining = new FakeServer("s2");
+                ScriptedDiscovery discovery = new ScriptedDiscovery(new SendList(Loopback.list(1, omitted, remaining)))) {
+            Node node = discovery.startNode(omitted, remaining);
             try (Client client = new Client(node.address())) {
-                ReadRequests.enqueueAnswers(leaves, stays);
-                ReadRequests.sendUntilAllReached(client, "before", leaves, stays);
+                ReadRequests.enqueueAnswers(omitted, remaining);
+                ReadRequests.sendUntilAllReached(client, "before", omitted, remaining);
                 discovery.calls.clear();
-                discovery.append(form.steps(stays));
-                if (form == Form.AFTER_A_WATCH_THAT_ENDS) {
+                discovery.append(form.listSteps(remaining));
+                if (form == Form.AFTER_A_CLOSED_WATCH) {
                     discovery.awaitCallAfter(1);
                 }
                 discovery.awaitCallAfter(form.version);
-                int before = leaves.requests.size();
-                ReadRequests.assertAllServedBy(stays, client, "after");
-                assertEquals(before, leaves.requests.size());
-                // Its places at the server are free for others: kept connections go with it.
-                Loopback.await(() -> leaves.connections.stream().allMatch(Socket::isClosed));
+                int before = omitted.requests.size();
+                ReadRequests.assertAllServedBy(remaining, client, "after");
+                assertEquals(before, omitted.requests.size());
+                // The node closes its kept connections, which frees their slots at the server for other callers.
+                Loopback.await(() -> omitted.connections.stream().allMatch(Socket::isClosed));
             } finally {
                 node.stop();
             }
         }
     }
 
-    /** A dial may take longer than the grace after which nothing new goes to a server that has left. */
+    /** A dial may take longer than the drain grace, after which a server that is gone gets no new requests. */
     @Test
-    void nothingIsWrittenToAServerThatWasLeftOutDuringTheDial() throws Exception {
-        try (FakeServer named = new FakeServer("s1"); FakeServer other = new FakeServer("s2"); FullBacklogServer full = new FullBacklogServer();
+    void nothingIsWrittenToAServerOmittedDuringTheDial() throws Exception {
+        try (FakeServer dialled = new FakeServer("s1"); FakeServer other = new FakeServer("s2");
+                FullBacklogServer full = new FullBacklogServer();
                 ScriptedDiscovery discovery = new ScriptedDiscovery(
-                    new SendList(Loopback.list(1, named).replace(named.address(), full.address())))) {
-            Node node = discovery.startNode(named);
+                    new SendList(Loopback.list(1, dialled).replace(dialled.address(), full.address())))) {
+            Node node = discovery.startNode(dialled);
             try (Client client = new Client(node.address())) {
                 full.fillBacklog();
                 client.send(Loopback.request("r1", "book", "Content-Length: 0"));
--- a/src/test/java/onyxpaddle/serve/PlainHttpTest.java
+++ b/src/test/java/onyxpaddle/serve/PlainHttpTest.java
@@ -13,14 +13,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Ordinary HTTP through a sidecar's node: what an application says is the answer, and what it needs passes. */
+/** Ordinary HTTP through a sidecar: statuses, headers and bodies of the application pass unchanged, apart from hop-by-hop headers. */
 class PlainHttpTest {
     private static String config(FakeServer server) {
         return SidecarRig.simpleConfig("attempts: 2").replace("servers: []", "servers: [\"" + server.address() + "\"]");
     }
 
     @Test
-    void clientThatKnowsNothingOfTheNodeIsServed() throws Exception {
+    void clientWithoutPlatformHeadersIsServed() throws Exception {
         try (StandInServer app = new StandInServer("app", 0); SidecarRig rig = new SidecarRig(SidecarRig.simpleConfig("", app))) {
             HttpResponse<String> answer = rig.get("/slots?day=3");
             assertEquals(200, answer.statusCode());
@@ -33,20 +33,20 @@
 
     @ParameterizedTest
     @ValueSource(ints = {200, 201, 204, 301, 304, 400, 404, 409, 422, 429, 500, 501, 503})
-    void everyStatusOfTheApplicationIsTheAnswer(int status) throws Exception {
+    void everyStatusOfTheApplicationIsPassedOn(int status) throws Exception {
         try (StandInServer app = new StandInServer("app", 0); SidecarRig rig = new SidecarRig(SidecarRig.simpleConfig("", app))) {
             for (int i = 0; i < 2; i++) {
                 HttpResponse<String> answer = rig.post("/visits", "x", "X-Answer-Status", Integer.toString(status),
                     "X-Effect", "visit-" + i);
                 assertEquals(status, answer.statusCode());
                 assertEquals("app", answer.headers().firstValue("X-Stand-In").orElse(""));
-                assertEquals(1, app.runs("visit-" + i), "a booking ran twice");
+                assertEquals(1, app.runs("visit-" + i), "an unsafe request ran twice");
             }
         }
     }
 
     @Test
-    void aSafeRequestThatFailsIsTriedAgainAndAllOthersAreNot() throws Exception {
+    void safeRequestIsRetriedOnServerErrorAndNotOnClientError() throws Exception {
         try (StandInServer app = new StandInServer("app", 0); SidecarRig rig = new SidecarRig(SidecarRig.simpleConfig("", app))) {
             assertEquals(500, rig.get("/slots", "X-Answer-Status", "500", "X-Effect", "look").statusCode());
             assertEquals(3, app.runs("look"));
@@ -56,13 +56,13 @@
     }
 
     @Test
-    void headHasNoBodyAndKeepsItsLength() throws Exception {
+    void headAnswerHasNoBodyAndKeepsItsContentLength() throws Exception {
         try (StandInServer app = new StandInServer("app", 0); SidecarRig rig = new SidecarRig(SidecarRig.simpleConfig("", app));
                 Client raw = new Client(rig.node.address("in"))) {
             raw.send("HEAD /slots HTTP/1.1\r\nHost: a\r\nX-Answer-Bytes: 700\r\n\r\n");
             String head = Loopback.head(raw.socket.getInputStream());
             assertTrue(head.startsWith("HTTP/1.1 200") && head.toLowerCase().contains("content-length: 700"), head);
-            // The next answer follows at once: no byte of a body stands between.
+            // The next answer follows directly: no byte of a body is in between.
             raw.send("HEAD /slots HTTP/1.1\r\nHost: a\r\n\r\n");
             assertTrue(Loopback.head(raw.socket.getInputStream()).startsWith("HTTP/1.1 200"));
             raw.send("HEAD /nowhere HTTP/1.1\r\nHost: a\r\n\r\n");
@@ -72,25 +72,25 @@
     }
 
     @Test
-    void hopByHopHeadersStayBehindAndTheOthersPassBothWays() throws Exception {
+    void hopByHopHeadersAreDroppedAndOthersPassBothWays() throws Exception {
         try (FakeServer app = new FakeServer("s1", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nConnection: X-Hop\r\n"
                     + "X-Hop: 1\r\nKeep-Alive: timeout=9\r\nSet-Cookie: a=1\r\nSet-Cookie: b=2\r\n\r\nhi");
                 SidecarRig rig = new SidecarRig(config(app)); Client raw = new Client(rig.node.address("in"))) {
             raw.send("GET /slots HTTP/1.1\r\nHost: clinic.example\r\nConnection: X-Mine\r\nX-Mine: 1\r\nTE: trailers\r\n"
                 + "Upgrade: h2c\r\nCookie: k=1\r\nX-Forwarded-For: 10.9.9.9\r\n\r\n");
-            String back = Loopback.head(raw.socket.getInputStream());
-            String there = app.nextRequest();
-            assertTrue(there.contains("Host: clinic.example\r\n") && there.contains("Cookie: k=1\r\n"), there);
-            assertTrue(there.toLowerCase().contains("via: 1.1 rig\r\n"), there);
-            assertTrue(there.contains("X-Forwarded-For: 10.9.9.9, 127.0.0.1\r\n"), there);
-            assertFalse(there.contains("X-Mine") || there.contains("TE:") || there.contains("Upgrade"), there);
-            assertTrue(back.contains("Set-Cookie: a=1\r\n") && back.contains("Set-Cookie: b=2\r\n"), back);
-            assertFalse(back.contains("X-Hop") || back.contains("Keep-Alive"), back);
+            String answerHead = Loopback.head(raw.socket.getInputStream());
+            String requestHead = app.nextRequest();
+            assertTrue(requestHead.contains("Host: clinic.example\r\n") && requestHead.contains("Cookie: k=1\r\n"), requestHead);
+            assertTrue(requestHead.toLowerCase().contains("via: 1.1 rig\r\n"), requestHead);
+            assertTrue(requestHead.contains("X-Forwarded-For: 10.9.9.9, 127.0.0.1\r\n"), requestHead);
+            assertFalse(requestHead.contains("X-Mine") || requestHead.contains("TE:") || requestHead.contains("Upgrade"), requestHead);
+            assertTrue(answerHead.contains("Set-Cookie: a=1\r\n") && answerHead.contains("Set-Cookie: b=2\r\n"), answerHead);
+            assertFalse(answerHead.contains("X-Hop") || answerHead.contains("Keep-Alive"), answerHead);
         }
     }
 
     @Test
-    void largeBodiesPassBothWaysAndLargerOnesAreTurnedAway() throws Exception {
+    void bodiesUpToTheLimitPassBothWaysAndLargerOnesAreRejected() throws Exception {
         try (StandInServer app = new StandInServer("app", 0); SidecarRig rig = new SidecarRig(SidecarRig.simpleConfig("", app))) {
             assertEquals("app POST /visits 800000 bytes\n", rig.post("/visits", "x".repeat(800_000)).body());
             assertEquals(900_000, rig.get("/slots", "X-Answer-Bytes", "900000").body().length());
@@ -103,7 +103,7 @@
     }
 
     @Test
-    void answerThatEndsWithItsConnectionIsTakenAndOneThatIsResetIsNot() throws Exception {
+    void answerDelimitedByCloseIsAcceptedUnlessTheConnectionIsReset() throws Exception {
         class Closing extends FakeServer {
             private final boolean reset;
 
@@ -117,7 +117,7 @@
                 Loopback.head(socket.getInputStream());
                 socket.getOutputStream().write("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nall of it".getBytes());
                 if (reset) {
-                    // Read by the node before the reset comes, or it would never see the bytes.
+                    // The node has to read the bytes before the reset, which discards what is still unread.
                     Thread.sleep(200);
                     socket.setSoLinger(true, 0);
                 }
@@ -145,7 +145,7 @@
         "CONNECT a:443 HTTP/1.1\r\nHost: a:443\r\n\r\n501",
         "TRACE /slots HTTP/1.1\r\nHost: a\r\n\r\n501",
     })
-    void whatHasNoRouteOrMakesNoSenseIsAnsweredAtOnceAndReachesNobody(String text) throws Exception {
+    void unroutedOrInvalidRequestIsAnsweredByTheNodeAndReachesNoServer(String text) throws Exception {
         try (StandInServer app = new StandInServer("app", 0); SidecarRig rig = new SidecarRig(SidecarRig.simpleConfig("", app));
                 Client raw = new Client(rig.node.address("in"))) {
             String answer = raw.send(text.substring(0, text.length() - 3)).readAnswer();
@@ -157,7 +157,7 @@
     }
 
     @Test
-    void clientThatTakesTheNodeForItsProxyIsRoutedByTheHostItNames() throws Exception {
+    void requestInAbsoluteFormIsRouted() throws Exception {
         try (StandInServer app = new StandInServer("app", 0); SidecarRig rig = new SidecarRig(SidecarRig.simpleConfig("", app));
                 Client raw = new Client(rig.node.address("in"))) {
             raw.send("GET http://records.svc:80/slots/4 HTTP/1.1\r\nHost: a\r\n\r\n");
@@ -166,11 +166,11 @@
     }
 
     @Test
-    void applicationThatIsFullIsNotQueuedFor() throws Exception {
+    void requestBeyondTheInFlightLimitIsRefusedWithoutQueueing() throws Exception {
         try (StandInServer app = new StandInServer("app", 0).silent(true);
                 SidecarRig rig = new SidecarRig(SidecarRig.simpleConfig("in-flight: 1", app));
-                Client held = new Client(rig.node.address("in"))) {
-            held.send("GET /slots HTTP/1.1\r\nHost: a\r\n\r\n");
+                Client blocked = new Client(rig.node.address("in"))) {
+            blocked.send("GET /slots HTTP/1.1\r\nHost: a\r\n\r\n");
             while (app.served() == 0) {
                 Thread.onSpinWait();
             }
@@ -182,7 +182,7 @@
     }
 
     @Test
-    void applicationThatIsKilledAndStartedAgainIsServedAgain() throws Exception {
+    void restartedApplicationIsReachedAgain() throws Exception {
         StandInServer first = new StandInServer("first", 0);
         try (SidecarRig rig = new SidecarRig(SidecarRig.simpleConfig("", first))) {
             assertEquals(200, rig.post("/visits", "x").statusCode());
--- a/src/test/java/onyxpaddle/serve/RpcCallerDisconnectTest.java
+++ b/src/test/java/onyxpaddle/serve/RpcCallerDisconnectTest.java
@@ -7,12 +7,12 @@
 import onyxpaddle.standin.RpcCaller;
 import org.junit.jupiter.api.Test;
 
-/** A caller by MessagePack-RPC that has closed its connection has gone: nothing begins for it, however late the node's loop is. */
+/** A MessagePack-RPC call whose caller has already closed its connection is not sent, even if the event loop reads both late. */
 class RpcCallerDisconnectTest {
-    private static final long BEHIND_MS = 250;
+    private static final long LOOP_DELAY_MS = 250;
 
     @Test
-    void callAndCloseThatAreReadTogetherStartNothing() throws Exception {
+    void callReadTogetherWithTheCloseIsNotSent() throws Exception {
         try (Box box = new Box("one"); RpcRig rig = new RpcRig(RpcRig.config("", box.rpcOnly("one"))); RpcCaller other = rig.caller()) {
             assertTrue(other.callAndWait("book", RpcRig.text("b1")).ok());
             RpcCaller gone = rig.caller();
@@ -20,7 +20,7 @@
             BlockedEventLoop held = new BlockedEventLoop(rig.node.loop());
             gone.call("book", RpcRig.text("b3"));
             gone.close();
-            held.releaseAfter(BEHIND_MS);
+            held.releaseAfter(LOOP_DELAY_MS);
             gone.closed().handle((nothing, failure) -> null).join();
             assertTrue(other.callAndWait("book", RpcRig.text("b4")).ok());
             assertTrue(other.callAndWait("book", RpcRig.text("b5")).ok());
--- a/src/test/java/onyxpaddle/serve/RpcFrontTest.java
+++ b/src/test/java/onyxpaddle/serve/RpcFrontTest.java
@@ -20,7 +20,7 @@
 import org.msgpack.value.Value;
 import org.msgpack.value.ValueFactory;
 
-/** Callers by MessagePack-RPC: what they are answered, and what is done with those that misbehave. */
+/** MessagePack-RPC callers: how their calls are answered, and how misbehaving callers are limited. */
 class RpcFrontTest {
     private static String by(Reply reply) {
         return reply.result().asMapValue().map().get(text("by")).asStringValue().asString();
@@ -31,7 +31,7 @@
     }
 
     @Test
-    void aCallIsAnsweredAndItsPayloadPassesThrough() throws Exception {
+    void callIsAnsweredAndItsPayloadPassesThrough() throws Exception {
         try (Box box = new Box("one"); RpcRig rig = new RpcRig(config("", box.rpcOnly("one"))); RpcCaller caller = rig.caller()) {
             Value odd = ValueFactory.newMap(text("a"), ValueFactory.newExtension((byte) 7, new byte[] {1, 2, 3}),
                 ValueFactory.newInteger(-5), ValueFactory.newArray(ValueFactory.newFloat(0.1), ValueFactory.newNil()));
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void anApplicationsErrorPassesThroughAndIsNotTriedAgain() throws Exception {
+    void applicationErrorPassesThroughAndIsNotRetried() throws Exception {
         try (Box box = new Box("one"); RpcRig rig = new RpcRig(config("", box.rpcOnly("one"))); RpcCaller caller = rig.caller()) {
             Reply reply = caller.callAndWait("fail", text("k"));
             assertEquals(text("failed as asked"), reply.error());
@@ -61,7 +61,7 @@
     }
 
     @Test
-    void aMethodThatIsNotRoutedIsAnsweredAtOnce() throws Exception {
+    void unroutedMethodIsAnsweredWithAnError() throws Exception {
         try (Box box = new Box("one"); RpcRig rig = new RpcRig(config("", box.rpcOnly("one"))); RpcCaller caller = rig.caller()) {
             assertEquals("no-method", caller.callAndWait("nobody.knows").nodeErrorCode());
             assertEquals("no-method", caller.callAndWait("looks").nodeErrorCode());
@@ -71,7 +71,7 @@
     }
 
     @Test
-    void callsOnOneConnectionAreAnsweredAsTheirAnswersCome() throws Exception {
+    void callsOnOneConnectionAreAnsweredInCompletionOrder() throws Exception {
         try (Box box = new Box("one").delay(0, 60); RpcRig rig = new RpcRig(config("", box.rpcOnly("one")));
                 RpcCaller caller = rig.caller()) {
             List<CompletableFuture<Reply>> replies = new ArrayList<>();
@@ -91,12 +91,12 @@
             }
             List<Integer> sorted = new ArrayList<>(order);
             sorted.sort(null);
-            assertFalse(order.equals(sorted), "none overtook another");
+            assertFalse(order.equals(sorted), "all answers came in the order of the calls");
         }
     }
 
     @Test
-    void theEnvelopeIsTakenOutAndServersHaveOneOfTheirOwnWhereTheyAreToldSo() throws Exception {
+    void envelopeIsRemovedAndAnotherSentToServersWhereConfigured() throws Exception {
         try (Box box = new Box("one"); RpcRig rig = new RpcRig(config("", box.rpcOnly("one"))); RpcCaller caller = rig.caller()) {
             Reply reply = caller.callAndWait("keyed", RpcCaller.envelope("key", "k1", "expires", 3000, "worth", 0.3), text("x"));
             assertEquals(ValueFactory.newArray(text("x")), params(reply));
@@ -112,7 +112,7 @@
             assertTrue(box.rpc.lastEnvelope().get(text("retry")).asBooleanValue().getBoolean());
             long left = box.rpc.lastEnvelope().get(text("expires")).asNumberValue().toLong();
             assertTrue(left > 0 && left <= 3000, "left: " + left);
-            // One that says nothing has the class's deadline.
+            // A call without an envelope gets the deadline of its class.
             caller.callAndWait("book", text("y"));
             long longer = box.rpc.lastEnvelope().get(text("expires")).asNumberValue().toLong();
             assertTrue(longer > 3000 && longer <= 5000, "left: " + longer);
@@ -120,7 +120,7 @@
     }
 
     @Test
-    void aCallersOwnTimeGoesBeforeTheClasss() throws Exception {
+    void expiryOfTheCallerOverridesTheDeadlineOfTheClass() throws Exception {
         try (Box box = new Box("one"); RpcRig rig = new RpcRig(config("", box.rpcOnly("one"))); RpcCaller caller = rig.caller()) {
             box.frozen(true);
             long start = System.nanoTime();
@@ -132,9 +132,9 @@
     }
 
     @Test
-    void aMsgidThatIsOpenAlreadyEndsTheConnectionAfterItsAnswer() throws Exception {
+    void duplicateOpenMsgidClosesTheConnectionAfterTheFirstAnswer() throws Exception {
         try (Box box = new Box("one"); RpcRig rig = new RpcRig(config("", box.rpcOnly("one"))); RpcCaller caller = rig.caller()) {
-            // Both are read in one turn of the loop, so that the first is open whatever its server does.
+            // Both are read in one turn of the loop, so that the first is still open whenever its server answers.
             BlockedEventLoop held = new BlockedEventLoop(rig.node.loop());
             CompletableFuture<Reply> first = caller.call(5, "book", text("first"));
             caller.send(RpcCaller.frame(5, "book", text("second")));
@@ -148,7 +148,7 @@
     }
 
     @Test
-    void aMsgidMayBeUsedAgainOnceItIsAnswered() throws Exception {
+    void msgidMayBeReusedOnceAnswered() throws Exception {
         try (Box box = new Box("one"); RpcRig rig = new RpcRig(config("", box.rpcOnly("one"))); RpcCaller caller = rig.caller()) {
             for (int i = 0; i < 20; i++) {
                 Reply reply = caller.call(0xffffffffL, "book", text("again" + i)).get(RpcRig.TIMEOUT_S, TimeUnit.SECONDS);
@@ -158,22 +158,22 @@
     }
 
     @Test
-    void whatIsNoFrameEndsTheConnectionAfterWhatWasTakenIsAnswered() throws Exception {
+    void invalidFrameClosesTheConnectionAfterOpenCallsAreAnswered() throws Exception {
         try (Box box = new Box("one").delay(100, 0); RpcRig rig = new RpcRig(config("", box.rpcOnly("one")));
                 RpcCaller caller = rig.caller(); RpcCaller other = rig.caller()) {
-            CompletableFuture<Reply> taken = caller.call("book", text("taken"));
+            CompletableFuture<Reply> open = caller.call("book", text("taken"));
             caller.send(new byte[] {(byte) 0xc1, 0, 1, 2, 3});
             CompletableFuture<Reply> after = caller.call("book", text("after"));
-            assertTrue(taken.get(RpcRig.TIMEOUT_S, TimeUnit.SECONDS).ok());
+            assertTrue(open.get(RpcRig.TIMEOUT_S, TimeUnit.SECONDS).ok());
             caller.closed().get(RpcRig.TIMEOUT_S, TimeUnit.SECONDS);
             assertTrue(after.isCompletedExceptionally());
             assertEquals(0, box.ledger.runs("after"));
-            assertTrue(other.callAndWait("book", text("other")).ok(), "nothing else is lost by it");
+            assertTrue(other.callAndWait("book", text("other")).ok(), "other connections are not affected");
         }
     }
 
     @Test
-    void hugeClaimsAndDeepNestingEndTheConnectionAtOnce() throws Exception {
+    void hugeLengthsAndDeepNestingCloseTheConnectionAtOnce() throws Exception {
         try (Box box = new Box("one"); RpcRig rig = new RpcRig(config("", box.rpcOnly("one")))) {
             byte[] deep = new byte[10_010];
             java.util.Arrays.fill(deep, (byte) 0x91);
@@ -190,7 +190,7 @@
     }
 
     @Test
-    void parametersTooLargeAreAnswered() throws Exception {
+    void oversizedParametersAreAnsweredWithAnError() throws Exception {
         try (Box box = new Box("one"); RpcRig rig = new RpcRig(config("body: 16 KiB", box.rpcOnly("one")));
                 RpcCaller caller = rig.caller()) {
             assertEquals("too-large", caller.callAndWait("book", ValueFactory.newBinary(new byte[20_000])).nodeErrorCode());
@@ -200,7 +200,7 @@
     }
 
     @Test
-    void aFrameThatDoesNotComeWholeIsLetGoOf() throws Exception {
+    void connectionWithAnIncompleteFrameIsClosed() throws Exception {
         try (Box box = new Box("one"); RpcRig rig = new RpcRig(config("body: 1 KiB", box.rpcOnly("one")));
                 RpcCaller caller = rig.caller()) {
             caller.send(new byte[] {(byte) 0x94, 0});
@@ -208,9 +208,9 @@
         }
     }
 
-    /** Thousands of calls, and no answer read: the node holds a bounded number, reads no further, and lets go in the end. */
+    /** A caller sends thousands of calls and reads no answer: the node holds a bounded number, stops reading, and closes the connection. */
     @Test
-    void aCallerThatReadsNothingHoldsNothingForLong() throws Exception {
+    void callerThatReadsNothingIsDisconnected() throws Exception {
         try (Box box = new Box("one"); RpcRig rig = new RpcRig(config("", box.rpcOnly("one"))); RpcCaller good = rig.caller()) {
             RpcCaller caller = rig.caller();
             Value large = ValueFactory.newBinary(new byte[20_000]);
@@ -227,10 +227,10 @@
             for (int i = 0; i < 50; i++) {
                 served += good.callAndWait("look.y").ok() ? 1 : 0;
             }
-            assertTrue(served >= 48, "others are served on: " + served + " of 50");
-            // It is cut off once it has left answers unread for 5 s: what it sends after meets a closed connection.
+            assertTrue(served >= 48, "calls of another caller served: " + served + " of 50");
+            // The node closes the connection after answers have been unread for 5 s; later writes then fail.
             flood.join(TimeUnit.SECONDS.toMillis(RpcRig.TIMEOUT_S));
-            assertFalse(flood.isAlive(), "the caller is still held");
+            assertFalse(flood.isAlive(), "the connection of the caller that reads nothing is still open");
             assertTrue(box.ledger.served() < 1500, "served " + box.ledger.served());
             assertTrue(good.callAndWait("look.y").ok());
             caller.close();
@@ -238,7 +238,7 @@
     }
 
     @Test
-    void aCallerWithNoTimeLeftIsAnsweredAndNothingIsSent() throws Exception {
+    void expiredCallIsAnsweredAndNotSent() throws Exception {
         try (Box box = new Box("one"); RpcRig rig = new RpcRig(config("", box.rpcOnly("one"))); RpcCaller caller = rig.caller()) {
             Reply reply = caller.callAndWait("book", RpcCaller.envelope("expires", 0), text("x"));
             assertTrue(List.of("refused", "late").contains(reply.nodeErrorCode()), reply.error().toString());
@@ -246,9 +246,9 @@
         }
     }
 
-    /** Its calls are given up with it: the server that refuses them just then is the last that is asked. */
+    /** The calls of a caller that has disconnected are cancelled: a server's refusal afterwards leads to no further attempt. */
     @Test
-    void aCallerThatIsGoneIsNotServedOn() throws Exception {
+    void callsOfADisconnectedCallerGetNoFurtherAttempt() throws Exception {
         try (Box box = new Box("one").delay(100, 0); RpcRig rig = new RpcRig(config("", box.rpcOnly("one")));
                 RpcCaller good = rig.caller()) {
             RpcCaller caller = rig.caller();
@@ -267,7 +267,7 @@
     // ---- notifications ----
 
     @Test
-    void notificationsAreSentOnAndNeverAnswered() throws Exception {
+    void notificationsAreForwardedAndNeverAnswered() throws Exception {
         try (Box box = new Box("one"); RpcRig rig = new RpcRig(config("", box.rpcOnly("one"))); RpcCaller caller = rig.caller()) {
             for (int i = 0; i < 100; i++) {
                 caller.sendNotification("book", text("n" + i));
@@ -281,49 +281,51 @@
         }
     }
 
-    /** Servers gone: a notification is dropped, and not tried elsewhere, where a call would be. */
+    /** A notification that meets a server that is gone is dropped; a call would get a further attempt elsewhere. */
     @Test
-    void aNotificationIsNeverTriedAgain() throws Exception {
+    void notificationIsNeverRetried() throws Exception {
         try (Box box = new Box("one"); Box gone = new Box("gone");
-                RpcRig rig = new RpcRig(config("rpc: {connections: 1}", box.rpcOnly("one"), gone.rpcOnly("gone"))); RpcCaller caller = rig.caller()) {
+                RpcRig rig = new RpcRig(config("rpc: {connections: 1}", box.rpcOnly("one"), gone.rpcOnly("gone")));
+                RpcCaller caller = rig.caller()) {
             gone.stop();
-            int told = 0;
+            int sent = 0;
             int dropped = 0;
-            // One connection to a server, so that a call is answered after what was told before it. The server that is gone is drawn at random, and rarely once it is known to be: it is by and by.
-            while (dropped == 0 && told < 5_000) {
-                caller.sendNotification("book", text("n" + told));
+            // With one connection per server, a call is answered after the notification sent before it has run. The server that is gone is
+            // drawn at random, and rarely once it is known to have failed, so that the loop may need many rounds.
+            while (dropped == 0 && sent < 5_000) {
+                caller.sendNotification("book", text("n" + sent));
                 assertTrue(caller.callAndWait("look.x").ok(), "a call fails over");
-                assertTrue(box.ledger.runs("n" + told) <= 1);
-                dropped += box.ledger.runs("n" + told) == 0 ? 1 : 0;
-                told++;
+                assertTrue(box.ledger.runs("n" + sent) <= 1);
+                dropped += box.ledger.runs("n" + sent) == 0 ? 1 : 0;
+                sent++;
             }
-            assertTrue(dropped > 0, "none of " + told + " met the server that is gone");
-            assertEquals(told - 1, java.util.stream.IntStream.range(0, told).map(i -> box.ledger.runs("n" + i)).sum(),
-                "what was dropped has not run later either");
+            assertTrue(dropped > 0, "none of " + sent + " notifications was sent to the server that is gone");
+            assertEquals(sent - 1, java.util.stream.IntStream.range(0, sent).map(i -> box.ledger.runs("n" + i)).sum(),
+                "the dropped notification has not run later either");
             assertEquals(0, caller.unexpectedReplies());
         }
     }
 
     @Test
-    void aStormOfNotificationsLeavesOthersServed() throws Exception {
+    void floodOfNotificationsDoesNotBlockOtherCallers() throws Exception {
         try (Box box = new Box("one"); RpcRig rig = new RpcRig(config("in-flight: 20", box.rpcOnly("one")));
-                RpcCaller storm = rig.caller(); RpcCaller good = rig.caller()) {
-            byte[] frame = RpcCaller.frame(-1, "book", text("storm"));
+                RpcCaller flooding = rig.caller(); RpcCaller good = rig.caller()) {
+            byte[] frame = RpcCaller.frame(-1, "book", text("flooding"));
             byte[] many = new byte[frame.length * 500];
             for (int i = 0; i < 500; i++) {
                 System.arraycopy(frame, 0, many, i * frame.length, frame.length);
             }
             for (int i = 0; i < 20; i++) {
-                storm.send(many);
+                flooding.send(many);
             }
             int served = 0;
             for (int i = 0; i < 50; i++) {
                 served += good.callAndWait("look.y").ok() ? 1 : 0;
             }
             assertTrue(served >= 45, "served " + served + " of 50");
-            assertTrue(storm.callAndWait("look.z").ok(), "the storm is over, and its connection lives");
-            assertEquals(0, storm.unexpectedReplies());
-            assertNull(storm.callAndWait("look.z").nodeErrorCode());
+            assertTrue(flooding.callAndWait("look.z").ok(), "the flooding connection is still usable");
+            assertEquals(0, flooding.unexpectedReplies());
+            assertNull(flooding.callAndWait("look.z").nodeErrorCode());
         }
     }
 }
--- a/src/test/java/onyxpaddle/serve/RpcRig.java
+++ b/src/test/java/onyxpaddle/serve/RpcRig.java
@@ -10,11 +10,11 @@
 import org.msgpack.value.Value;
 import org.msgpack.value.ValueFactory;
 
-/** A node whose callers speak MessagePack-RPC, and boxes that speak both protocols. */
+/** A node with a MessagePack-RPC listener, and stand-in servers that speak both protocols. */
 final class RpcRig implements AutoCloseable {
     static final long TIMEOUT_S = 20;
 
-    /** A server that both protocols reach, with one ledger. */
+    /** A server that is reachable by HTTP and by MessagePack-RPC; both record what runs in one ledger. */
     static final class Box implements AutoCloseable {
         final ExecutionCounter ledger = new ExecutionCounter();
         final StandInServer http;
@@ -26,7 +26,7 @@
             rpc = new StandInRpcServer(name, 0, ledger);
         }
 
-        /** As it stands in a list. */
+        /** The server's entry in a configured list of servers. */
         String bothProtocols(String id) {
             return "{id: " + id + ", address: \"" + http.hostPort() + "\", rpc: \"" + rpc.hostPort() + "\"}";
         }
@@ -50,7 +50,7 @@
             rpc.frozen(on);
         }
 
-        /** It is gone: nothing listens any more. */
+        /** Closes both listeners and all connections. */
         void stop() {
             if (!stopped) {
                 stopped = true;
@@ -65,8 +65,8 @@
         }
     }
 
-    interface Check {
-        boolean holds() throws Exception;
+    interface Condition {
+        boolean isMet() throws Exception;
     }
 
     final Sidecar node;
@@ -75,7 +75,10 @@
         node = Sidecar.start(SidecarRig.config(config));
     }
 
-    /** One listener `in`, one pool of these servers, procedures `look.*` (safe), `book` (unsafe), `keyed`, and `slow`. */
+    /**
+     * A configuration with one listener {@code in} and one pool of these servers. Procedures: {@code look.*}, {@code fail}, {@code refuse}
+     * and {@code count} (safe), {@code book} (unsafe), {@code keyed} (keyed) and {@code short} (unsafe, with a deadline of 400 ms).
+     */
     static String config(String poolLines, String... servers) {
         return """
             version: 1
@@ -110,10 +113,10 @@
         return ValueFactory.newString(text);
     }
 
-    static void await(Check check) throws Exception {
+    static void await(Condition condition) throws Exception {
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_S);
-        while (!check.holds()) {
-            assertTrue(System.nanoTime() < end, "waited in vain");
+        while (!condition.isMet()) {
+            assertTrue(System.nanoTime() < end, "condition not met within " + TIMEOUT_S + " s");
             Thread.sleep(2);
         }
     }
--- a/src/test/java/onyxpaddle/serve/RpcUpstreamTest.java
+++ b/src/test/java/onyxpaddle/serve/RpcUpstreamTest.java
@@ -22,13 +22,16 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.msgpack.value.ValueFactory;
 
-/** Servers by MessagePack-RPC that lose, mix up, cut and break: no call has another's answer, and none runs twice. */
+/**
+ * MessagePack-RPC servers that lose, reorder, duplicate and truncate answers and break connections: no call gets the answer of another, and
+ * no call runs twice.
+ */
 class RpcUpstreamTest {
     private static Reply get(CompletableFuture<Reply> reply) throws Exception {
         return reply.get(RpcRig.TIMEOUT_S, TimeUnit.SECONDS);
     }
 
-    /** Whether the answer is that of the call with this first parameter. */
+    /** Asserts that a successful answer belongs to the call with this first parameter. */
     private static void assertOwn(String key, Reply reply) {
         if (reply.ok()) {
             assertEquals(text(key), reply.result().asMapValue().map().get(text("params")).asArrayValue().get(0));
@@ -36,7 +39,7 @@
     }
 
     @Test
-    void aBookingWhoseReplyIsLostNeverRunsTwice() throws Exception {
+    void unsafeCallWithALostReplyNeverRunsTwice() throws Exception {
         try (Box one = new Box("one"); Box two = new Box("two");
                 RpcRig rig = new RpcRig(config("", one.rpcOnly("one"), two.rpcOnly("two"))); RpcCaller caller = rig.caller()) {
             one.rpc.faults(FaultScript.random(1, 0, Map.of(Fault.LOSE_REPLY, 1.0)));
@@ -56,7 +59,7 @@
     @ParameterizedTest
     @EnumSource(value = Fault.class, names = {"REORDER", "DUPLICATE", "WRONG_ID", "DELAY", "LOSE_REPLY", "GARBAGE", "CUT_SHORT",
         "STALL_MID_FRAME"})
-    void noCallHasAnothersAnswer(Fault fault) throws Exception {
+    void noCallGetsTheAnswerOfAnother(Fault fault) throws Exception {
         try (Box one = new Box("one"); Box two = new Box("two");
                 RpcRig rig = new RpcRig(config("", one.rpcOnly("one"), two.rpcOnly("two"))); RpcCaller caller = rig.caller()) {
             one.rpc.faults(FaultScript.random(7, 600, Map.of(fault, 0.2)));
@@ -78,18 +81,18 @@
                     assertTrue(!"refused".equals(reply.nodeErrorCode()) || runs == 0, key + " ran and was refused");
                 }
             }
-            // A stall takes all that comes after it on its connection, too: few are left of those calls.
+            // A stall also blocks all later answers on its connection, so that only few calls succeed under that fault.
             assertTrue(ok >= 5, "ok: " + ok);
             assertEquals(0, caller.unexpectedReplies());
         }
     }
 
-    /** A reply that comes after its call's time, while others are open on the same connection, answers none of them. */
+    /** A reply that arrives after the deadline of its call answers none of the other calls open on the connection. */
     @Test
-    void aLateReplyAnswersNobody() throws Exception {
+    void lateReplyIsDiscarded() throws Exception {
         try (Box box = new Box("one"); RpcRig rig = new RpcRig(config("", box.rpcOnly("one"))); RpcCaller caller = rig.caller()) {
             box.rpc.faults(FaultScript.sequence(700, Fault.DELAY));
-            assertEquals("late", get(caller.call(1, "short", text("slow"))).nodeErrorCode());
+            assertEquals("late", get(caller.call(1, "short", text("delayed"))).nodeErrorCode());
             box.rpc.delay(400, 0);
             List<CompletableFuture<Reply>> replies = new ArrayList<>();
             for (int i = 1; i <= 50; i++) {
@@ -100,17 +103,17 @@
                 assertTrue(reply.ok());
                 assertOwn("next" + i, reply);
             }
-            assertEquals(1, box.ledger.runs("slow"));
+            assertEquals(1, box.ledger.runs("delayed"));
             assertEquals(0, caller.unexpectedReplies());
         }
     }
 
     /**
-     * A server stops reading with a hundred large calls under way, some written and some not, and the connection breaks:
-     * what was not written goes to the other server, what was may have run and fails, and nothing runs twice.
+     * A server stops reading with a hundred large calls open, some written and some not, and the connection breaks: calls that were not
+     * written go to the other server, written ones may have run and therefore fail, and none runs twice.
      */
     @Test
-    void whatWasNotWrittenWhenAConnectionBreaksRunsElsewhere() throws Exception {
+    void callsNotWrittenWhenTheConnectionBreaksRunElsewhere() throws Exception {
         try (Box one = new Box("one"); Box two = new Box("two");
                 RpcRig rig = new RpcRig(config("rpc: {connections: 1, calls: 100}", one.rpcOnly("one")));
                 RpcCaller caller = rig.caller()) {
@@ -122,8 +125,8 @@
             }
             String both = config("rpc: {connections: 1, calls: 100}", one.rpcOnly("one"), two.rpcOnly("two"));
             assertNull(rig.node.change(SidecarRig.config(both)).get(RpcRig.TIMEOUT_S, TimeUnit.SECONDS));
-            // All has been handed to the node once a call that came behind it has its final word, whatever that is: where the other box
-            // answers late, the 20 ms that a node waits for one attempt go by, and the call is refused.
+            // The node has received all calls once a later call has its final answer, whichever that is: if the other box answers late,
+            // the 20 ms that a node waits for an attempt pass, and the call is refused.
             caller.callAndWait("look.after");
             one.rpc.breakConnections();
             one.frozen(false);
@@ -143,7 +146,7 @@
     }
 
     @Test
-    void aServersOwnWordThatACallNeverRanSendsEvenAnUnsafeOneElsewhere() throws Exception {
+    void unsafeCallThatAServerRefusesUnrunGetsAFurtherAttempt() throws Exception {
         try (Box one = new Box("one"); Box two = new Box("two");
                 RpcRig rig = new RpcRig(config("", one.rpcOnly("one"), two.rpcOnly("two"))); RpcCaller caller = rig.caller()) {
             one.rpc.refuses(true);
@@ -193,9 +196,9 @@
         }
     }
 
-    /** A stalled box gets nothing new on the connection that stalls, and serves again once it goes on. */
+    /** A stalled box gets no new calls on its stalled connection, and serves again once it continues. */
     @Test
-    void aBoxThatStallsAndGoesOn() throws Exception {
+    void stalledServerIsAvoidedAndServesAgainOnceItContinues() throws Exception {
         try (Box one = new Box("one"); Box two = new Box("two");
                 RpcRig rig = new RpcRig(config("", one.rpcOnly("one"), two.rpcOnly("two"))); RpcCaller caller = rig.caller()) {
             for (int i = 0; i < 50; i++) {
@@ -206,8 +209,8 @@
             for (int i = 0; i < 100; i++) {
                 ok += caller.callAndWait("short", text("s" + i)).ok() ? 1 : 0;
             }
-            // Half would be what a node does that goes on sending to both.
-            assertTrue(ok >= 60, "served beside a stalled box: " + ok + " of 100");
+            // A node that keeps sending to both servers would serve half of the calls.
+            assertTrue(ok >= 60, "calls served with one of two boxes stalled: " + ok + " of 100");
             one.frozen(false);
             long before = one.ledger.served();
             await(() -> {
@@ -221,7 +224,7 @@
     }
 
     @Test
-    void aServerThatDrainsGetsNothingNewAndItsConnectionsCloseOnceTheyAreEmpty() throws Exception {
+    void drainingServerGetsNoNewCallsAndItsIdleConnectionsClose() throws Exception {
         try (Box one = new Box("one"); Box two = new Box("two");
                 RpcRig rig = new RpcRig(config("", one.rpcOnly("one"), two.rpcOnly("two"))); RpcCaller caller = rig.caller()) {
             one.delay(400, 0);
@@ -237,14 +240,14 @@
                 assertEquals(0, one.ledger.runs("new" + i));
             }
             for (CompletableFuture<Reply> reply : open) {
-                assertTrue(get(reply).ok(), "what it had is finished");
+                assertTrue(get(reply).ok(), "open calls of the draining server are finished");
             }
             await(() -> one.rpc.openConnections() == 0);
         }
     }
 
     @Test
-    void aServerThatRestartsIsReachedAgain() throws Exception {
+    void serverIsReachedAgainAfterItsConnectionsBreak() throws Exception {
         try (Box one = new Box("one"); RpcRig rig = new RpcRig(config("", one.rpcOnly("one"))); RpcCaller caller = rig.caller()) {
             for (int i = 0; i < 5; i++) {
                 assertTrue(caller.callAndWait("look.x").ok());
--- a/src/test/java/onyxpaddle/serve/ScriptedDiscovery.java
+++ b/src/test/java/onyxpaddle/serve/ScriptedDiscovery.java
@@ -13,11 +13,12 @@
 import onyxpaddle.serve.Loopback.FakeServer;
 
 /**
- * Discovery that deals with one call after another, on whichever connection it comes, as its script says. After that it lets watches
- * wait, and tells a call that waits for no news what it told last: the caller may have given up the call that had it.
+ * A discovery service that handles its calls, on whichever connection they arrive, one after another by a script. Once the script is
+ * exhausted, it leaves watches open and repeats the last list to calls that do not wait for changes: the caller may have cancelled the call
+ * that received that list.
  */
 final class ScriptedDiscovery extends Loopback.Peer {
-    /** What it does with a call. */
+    /** How one call is handled. */
     sealed interface Step {
     }
 
@@ -25,17 +26,17 @@
     record SendList(String list) implements Step {
     }
 
-    /** Says nothing, and leaves the connection open. */
+    /** Sends no answer and leaves the connection open. */
     record WithholdAnswer() implements Step {
     }
 
-    /** Ends the connection with no answer. */
+    /** Closes the connection without an answer. */
     record CloseConnection() implements Step {
     }
 
     final BlockingQueue<String> calls = new LinkedBlockingQueue<>();
     private final BlockingQueue<Step> script = new LinkedBlockingQueue<>();
-    private volatile SendList last;
+    private volatile SendList lastList;
     private final CountDownLatch closed = new CountDownLatch(1);
 
     ScriptedDiscovery(Step... steps) throws IOException {
@@ -47,16 +48,16 @@
         return this;
     }
 
-    /** One server among changes. */
+    /** An incremental list that changes the health of one server. */
     static Step change(int version, FakeServer server, String health) {
         return new SendList(Loopback.list(version, server).replace("\"whole\":true", "\"whole\":false")
             .replace("\"health\":\"ready\"", "\"health\":\"" + health + "\""));
     }
 
-    /** A ready node that this is the discovery of, and that knows these servers. */
+    /** Starts a node that uses this discovery and is configured with these servers, and waits until it is ready. */
     Node startNode(FakeServer... known) throws Exception {
-        try (FakeDiscovery other = new FakeDiscovery("")) {
-            Node node = Node.start(PlatformConfig.parse(Loopback.config(other, known).getBytes(StandardCharsets.UTF_8),
+        try (FakeDiscovery placeholder = new FakeDiscovery("")) {
+            Node node = Node.start(PlatformConfig.parse(Loopback.config(placeholder, known).getBytes(StandardCharsets.UTF_8),
                 Map.of("GW_DISCOVERY", address())));
             try (Loopback.Client client = new Loopback.Client(node.address())) {
                 client.awaitReady();
@@ -65,14 +66,14 @@
         }
     }
 
-    /** Waits for a call that asks for what came after this version: what it told of this version is in force then. */
+    /** Waits for a call that asks for the changes after this version, which shows that the node has applied this version. */
     void awaitCallAfter(int version) throws InterruptedException {
         long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(Loopback.TIMEOUT_MS);
         String call;
         do {
             call = calls.poll(end - System.nanoTime(), TimeUnit.NANOSECONDS);
             if (call == null || System.nanoTime() > end) {
-                throw new AssertionError("version " + version + " is never in force");
+                throw new AssertionError("the node has not applied version " + version + " of the list");
             }
         } while (!call.contains("?after=" + version + "&"));
     }
@@ -81,12 +82,12 @@
     void serve(Socket socket) throws Exception {
         for (String head = Loopback.head(socket.getInputStream()); head != null; head = Loopback.head(socket.getInputStream())) {
             calls.add(head.split("\r\n")[0]);
-            boolean watches = head.contains("wait_ms=") && !head.contains("wait_ms=0 ");
-            Step again = watches ? null : last;
-            Step next = again == null ? script.take() : script.poll();
-            Step step = next == null ? again : next;
+            boolean isWatch = head.contains("wait_ms=") && !head.contains("wait_ms=0 ");
+            Step repeated = isWatch ? null : lastList;
+            Step next = repeated == null ? script.take() : script.poll();
+            Step step = next == null ? repeated : next;
             if (step instanceof SendList answer) {
-                last = answer;
+                lastList = answer;
                 socket.getOutputStream().write(Loopback.ok(answer.list()).getBytes(StandardCharsets.UTF_8));
             } else if (step instanceof WithholdAnswer) {
                 closed.await();
--- a/src/test/java/onyxpaddle/serve/ServerAnswerTest.java
+++ b/src/test/java/onyxpaddle/serve/ServerAnswerTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What a server sends is passed on only where it is, whole and alone, the answer to the request at hand. */
+/** Bytes from a server are forwarded only if they are one complete, valid answer to the current request. */
 class ServerAnswerTest {
     @ParameterizedTest
     @ValueSource(strings = {
@@ -23,20 +23,20 @@
         "HTTP/1.1 200 OK\r\nContent-Length : 5\r\n\r\nabcde",
         "HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nabcde",
     })
-    void spoiltAnswerFailsAndIsNotSentAgain(String answer) throws Exception {
-        try (FakeServer server = new FakeServer("s1", answer, Loopback.ok("second")); Loopback on = new Loopback(server);
-                Loopback.Client client = on.client()) {
+    void invalidAnswerFailsAndTheRequestIsNotRetried(String answer) throws Exception {
+        try (FakeServer server = new FakeServer("s1", answer, Loopback.ok("second")); Loopback rig = new Loopback(server);
+                Loopback.Client client = rig.client()) {
             client.send(Loopback.request("r1", "book", "Content-Length: 2") + "hi");
             assertEquals("502 ", client.readAnswer());
-            assertEquals(1, server.requests.size(), "a booking that may have run was sent again");
+            assertEquals(1, server.requests.size(), "a non-idempotent request that may have run was sent again");
         }
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong", "noise\r\n\r\n", "noise", "\r\n"})
-    void bytesBehindAnAnswerNeverMeetTheNextRequest(String surplus) throws Exception {
+    void surplusBytesAfterAnAnswerNeverReachTheNextRequest(String surplus) throws Exception {
         try (FakeServer server = new FakeServer("s1", Loopback.ok("first") + surplus, Loopback.ok("second"));
-                Loopback on = new Loopback(server); Loopback.Client client = on.client()) {
+                Loopback rig = new Loopback(server); Loopback.Client client = rig.client()) {
             assertEquals("200 first", client.send(Loopback.request("r1", "book", "Content-Length: 0")).readAnswer());
             assertEquals("200 second", client.send(Loopback.request("r2", "book", "Content-Length: 0")).readAnswer());
             assertEquals(2, server.connections.size(), "the connection with the surplus was used again");
@@ -44,23 +44,23 @@
     }
 
     @Test
-    void interimAnswersAreSkipped() throws Exception {
+    void interimAnswersAreDiscarded() throws Exception {
         String interim = "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n";
-        try (FakeServer server = new FakeServer("s1", interim + Loopback.ok("first")); Loopback on = new Loopback(server);
-                Loopback.Client client = on.client()) {
+        try (FakeServer server = new FakeServer("s1", interim + Loopback.ok("first")); Loopback rig = new Loopback(server);
+                Loopback.Client client = rig.client()) {
             assertEquals("200 first", client.send(Loopback.request("r1", "read")).readAnswer());
         }
     }
 
     @Test
-    void bookingGoesOnANewConnectionWhereKeptOnesBreak() throws Exception {
+    void unsafeRequestUsesANewConnectionAfterAReusedOneBroke() throws Exception {
         try (FakeServer server = new FakeServer("s1", Loopback.ok("first"), FakeServer.RESET, Loopback.ok("again"),
-                    Loopback.ok("booked")); Loopback on = new Loopback(server); Loopback.Client client = on.client()) {
+                    Loopback.ok("booked")); Loopback rig = new Loopback(server); Loopback.Client client = rig.client()) {
             assertEquals("200 first", client.send(Loopback.request("r1", "read")).readAnswer());
-            // Long enough for a connection to be used again.
+            // Long enough for the node to consider the connection reusable.
             Thread.sleep(100);
             assertEquals("200 again", client.send(Loopback.request("r2", "read")).readAnswer());
-            assertEquals(2, server.connections.size(), "the first was to be used again, and broken");
+            assertEquals(2, server.connections.size(), "the first connection should be reused and reset");
             Thread.sleep(100);
             assertEquals("200 booked", client.send(Loopback.request("r3", "book", "Content-Length: 0")).readAnswer());
             assertEquals(3, server.connections.size());
@@ -68,20 +68,20 @@
     }
 
     @Test
-    void requestThatTheServerFindsAtFaultIsNotSentAgain() throws Exception {
+    void requestThatAServerRejectsAsInvalidIsNotRetried() throws Exception {
         try (FakeServer server = new FakeServer("s1", "HTTP/1.1 400 No\r\nContent-Length: 0\r\n\r\n", Loopback.ok("no"));
-                Loopback on = new Loopback(server); Loopback.Client client = on.client()) {
+                Loopback rig = new Loopback(server); Loopback.Client client = rig.client()) {
             assertEquals("503 ", client.send(Loopback.request("r1", "read")).readAnswer());
             assertEquals(1, server.requests.size());
         }
     }
 
     @Test
-    void refusalIsSentAgainOnlyWithTheServersWordThatItNeverRan() throws Exception {
+    void refusedRequestIsRetriedOnlyIfTheServerStatesThatItNeverRan() throws Exception {
         String never = "HTTP/1.1 503 Busy\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n";
         String bare = "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n";
-        try (FakeServer server = new FakeServer("s1", never, bare); Loopback on = new Loopback(server);
-                Loopback.Client client = on.client()) {
+        try (FakeServer server = new FakeServer("s1", never, bare); Loopback rig = new Loopback(server);
+                Loopback.Client client = rig.client()) {
             assertEquals("502 ", client.send(Loopback.request("r1", "book", "Content-Length: 0")).readAnswer());
             assertTrue(server.nextRequest().contains("r1") && server.nextRequest().contains("r1"));
             assertEquals(0, server.requests.size());
--- a/src/test/java/onyxpaddle/serve/SharedServersTest.java
+++ b/src/test/java/onyxpaddle/serve/SharedServersTest.java
@@ -25,7 +25,7 @@
 import org.msgpack.value.MapValue;
 import org.msgpack.value.ValueFactory;
 
-/** One pool that callers of both protocols use: servers of both, of one, and a list that changes. */
+/** A pool shared by callers of both protocols, with servers that speak one or both of them, and with lists that change. */
 class SharedServersTest {
     private final HttpClient client = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
 
@@ -62,12 +62,12 @@
     }
 
     @Test
-    void eachProtocolGoesByItsOwnWhereTheServerSpeaksBoth() throws Exception {
+    void serverOfBothProtocolsIsReachedByTheProtocolOfTheCaller() throws Exception {
         try (Box box = new Box("one"); RpcRig rig = new RpcRig(config("", box.bothProtocols("one"))); RpcCaller caller = rig.caller()) {
             Reply reply = caller.callAndWait("look.x", text("a"));
             assertEquals(text("one"), reply.result().asMapValue().map().get(text("by")));
             HttpResponse<byte[]> answer = post(rig, "/visits", "plain".getBytes(), "X-Effect", "h1");
-            // The body is no array of MessagePack, which a route with a procedure asks for: such a server may be drawn.
+            // A route with a procedure requires a MessagePack array as body, as a MessagePack-RPC server may be drawn for it.
             assertEquals(400, answer.statusCode());
             answer = post(rig, "/visits", new byte[] {(byte) 0x91, 5}, "X-Effect", "h1");
             assertEquals(200, answer.statusCode());
@@ -77,11 +77,11 @@
     }
 
     @Test
-    void callsGoToServersOfHttp() throws Exception {
+    void rpcCallsReachHttpServers() throws Exception {
         try (Box box = new Box("one"); RpcRig rig = new RpcRig(config("", box.httpOnly("one"))); RpcCaller caller = rig.caller()) {
             Reply reply = caller.callAndWait("book", text("a"), ValueFactory.newInteger(7));
             assertTrue(reply.ok());
-            // The stand-in answers in plain text, which is a binary result; the body was the array as it came.
+            // The stand-in answers in plain text, which becomes a binary result; the request body is the unchanged array.
             byte[] result = reply.result().asBinaryValue().asByteArray();
             assertEquals("one POST /visits 4 bytes\n", new String(result));
             assertEquals("one POST /look/slots 1 bytes\n",
@@ -92,7 +92,7 @@
     }
 
     @Test
-    void aStatusOfHttpIsAnApplicationsError() throws Exception {
+    void httpErrorStatusBecomesAnApplicationError() throws Exception {
         try (Box box = new Box("one");
                 RpcRig rig = new RpcRig(config("", box.httpOnly("one"))); RpcCaller caller = rig.caller()) {
             box.http.status(404);
@@ -105,7 +105,7 @@
     }
 
     @Test
-    void requestsOfHttpGoToServersOfRpc() throws Exception {
+    void httpRequestsReachRpcServers() throws Exception {
         try (Box box = new Box("one"); RpcRig rig = new RpcRig(config("rpc: {envelope: true}", box.rpcOnly("one")))) {
             byte[] params = {(byte) 0x92, (byte) 0xa1, 'k', 5};
             HttpResponse<byte[]> answer = post(rig, "/visits", params, "Idempotency-Key", "key-7");
@@ -121,9 +121,9 @@
             assertEquals(text("failed as asked"), MessagePack.newDefaultUnpacker(failed.body()).unpackValue());
             HttpResponse<byte[]> none = post(rig, "/look", new byte[0]);
             assertEquals(200, none.statusCode());
-            for (byte[] wrong : List.of(new byte[] {5}, new byte[] {(byte) 0x92, 5}, new byte[] {(byte) 0x91, 5, 5},
+            for (byte[] invalid : List.of(new byte[] {5}, new byte[] {(byte) 0x92, 5}, new byte[] {(byte) 0x91, 5, 5},
                 "text".getBytes())) {
-                assertEquals(400, post(rig, "/visits", wrong).statusCode());
+                assertEquals(400, post(rig, "/visits", invalid).statusCode());
             }
             box.rpc.refuses(true);
             HttpResponse<byte[]> refused = post(rig, "/visits", params);
@@ -131,15 +131,15 @@
         }
     }
 
-    /** One server to the module: what one protocol has in flight counts for the other's choice. */
+    /** Calls in flight by one protocol count in the balancer's choice for the other protocol. */
     @Test
-    void whatOneProtocolHasInFlightTheOtherSees() throws Exception {
+    void requestsInFlightCountForBothProtocols() throws Exception {
         try (Box one = new Box("one"); Box two = new Box("two");
                 RpcRig rig = new RpcRig(config("", one.bothProtocols("one"), two.bothProtocols("two"))); RpcCaller caller = rig.caller()) {
             for (int i = 0; i < 100; i++) {
                 assertTrue(caller.callAndWait("look.x").ok());
             }
-            // Box one is full of bookings of HTTP, which stand still; calls should go to box two.
+            // HTTP requests that do not finish fill box one; calls should go to box two.
             one.frozen(true);
             List<CompletableFuture<HttpResponse<byte[]>>> open = new ArrayList<>();
             for (int i = 0; i < 60; i++) {
@@ -164,30 +164,30 @@
         }
     }
 
-    /** The list goes from HTTP only to both and on to MessagePack-RPC only and back, under calls without a pause. */
+    /** The listed protocols change from HTTP only to both, to MessagePack-RPC only and back, under continuous calls. */
     @Test
-    void aListThatChangesItsProtocolsUnderLoad() throws Exception {
+    void listChangesItsProtocolsUnderLoad() throws Exception {
         try (Box one = new Box("one").delay(2, 3); Box two = new Box("two").delay(2, 3);
                 RpcRig rig = new RpcRig(config("", one.httpOnly("one"), two.httpOnly("two"))); RpcCaller caller = rig.caller()) {
-            AtomicBoolean go = new AtomicBoolean(true);
-            List<String> wrong = java.util.Collections.synchronizedList(new ArrayList<>());
-            int[] asked = new int[1];
+            AtomicBoolean running = new AtomicBoolean(true);
+            List<String> failures = java.util.Collections.synchronizedList(new ArrayList<>());
+            int[] callCount = new int[1];
             Thread load = new Thread(() -> {
                 try {
-                    while (go.get()) {
+                    while (running.get()) {
                         List<CompletableFuture<Reply>> open = new ArrayList<>();
                         for (int i = 0; i < 20; i++) {
-                            open.add(caller.call("book", text("c" + asked[0]++)));
+                            open.add(caller.call("book", text("c" + callCount[0]++)));
                         }
                         for (CompletableFuture<Reply> reply : open) {
                             Reply got = reply.get(RpcRig.TIMEOUT_S, TimeUnit.SECONDS);
                             if (!got.ok()) {
-                                wrong.add(got.error().toString());
+                                failures.add(got.error().toString());
                             }
                         }
                     }
                 } catch (Exception e) {
-                    wrong.add(e.toString());
+                    failures.add(e.toString());
                 }
             });
             load.start();
@@ -196,58 +196,58 @@
                 String next = kind == 0 || kind == 2 ? config("", one.bothProtocols("one"), two.bothProtocols("two"))
                     : kind == 1 ? config("", one.rpcOnly("one"), two.rpcOnly("two"))
                     : config("", one.httpOnly("one"), two.httpOnly("two"));
-                int before = asked[0];
+                int before = callCount[0];
                 assertNull(rig.node.change(SidecarRig.config(next)).get(RpcRig.TIMEOUT_S, TimeUnit.SECONDS));
-                await(() -> asked[0] > before + 60 || !wrong.isEmpty());
+                await(() -> callCount[0] > before + 60 || !failures.isEmpty());
             }
-            go.set(false);
+            running.set(false);
             load.join();
-            assertEquals(List.of(), wrong);
-            // Those that went by HTTP have no name there; those by MessagePack-RPC ran once.
-            for (int i = 0; i < asked[0]; i++) {
+            assertEquals(List.of(), failures);
+            // Calls forwarded by HTTP carry no effect name, so that only those by MessagePack-RPC are counted by name.
+            for (int i = 0; i < callCount[0]; i++) {
                 assertTrue(one.ledger.runs("c" + i) + two.ledger.runs("c" + i) <= 1);
             }
-            assertTrue(one.ledger.served() + two.ledger.served() == asked[0], "ran " + (one.ledger.served()
-                + two.ledger.served()) + " of " + asked[0]);
+            assertTrue(one.ledger.served() + two.ledger.served() == callCount[0], "ran " + (one.ledger.served()
+                + two.ledger.served()) + " of " + callCount[0]);
         }
     }
 
-    /** The drain answers what was taken, refuses what comes, and closes. */
+    /** The final drain answers calls already received, refuses later ones, and closes the connections. */
     @Test
-    void theNodesDrain() throws Exception {
+    void finalDrainAnswersOpenCallsAndRefusesLaterOnes() throws Exception {
         try (Box box = new Box("one").delay(2500, 0); RpcRig rig = new RpcRig(config("", box.bothProtocols("one")));
                 RpcCaller caller = rig.caller()) {
-            List<CompletableFuture<Reply>> taken = new ArrayList<>();
+            List<CompletableFuture<Reply>> accepted = new ArrayList<>();
             for (int i = 0; i < 20; i++) {
-                taken.add(caller.call("book", text("t" + i)));
+                accepted.add(caller.call("book", text("t" + i)));
             }
             await(() -> box.ledger.served() == 20);
             Thread drain = new Thread(rig.node::drain);
             drain.start();
-            // None is waited for: one that comes before the drain is taken, and its answer may be the last of all.
+            // None of these is awaited: a call that arrives before the drain is accepted, and its answer may be the last of all.
             List<CompletableFuture<Reply>> late = new ArrayList<>();
             await(() -> {
                 late.add(caller.call("book", text("late")));
                 return late.stream().anyMatch(reply -> reply.isDone() && "refused".equals(reply.join().nodeErrorCode()));
             });
-            for (CompletableFuture<Reply> reply : taken) {
+            for (CompletableFuture<Reply> reply : accepted) {
                 assertTrue(reply.get(RpcRig.TIMEOUT_S, TimeUnit.SECONDS).ok());
             }
             caller.closed().get(RpcRig.TIMEOUT_S, TimeUnit.SECONDS);
             drain.join(TimeUnit.SECONDS.toMillis(RpcRig.TIMEOUT_S));
-            assertTrue(!drain.isAlive(), "the drain goes on");
+            assertTrue(!drain.isAlive(), "the drain has not ended");
         }
     }
 
-    /** A listener that goes at a reload serves on for a while, then refuses, and closes. */
+    /** A listener that a reload removes serves its open connections for a while, then refuses calls and closes them. */
     @Test
-    void aListenerThatGoesAtAReload() throws Exception {
+    void listenerRemovedByAReloadServesItsOpenConnections() throws Exception {
         try (Box box = new Box("one"); RpcRig rig = new RpcRig(config("", box.bothProtocols("one"))); RpcCaller caller = rig.caller()) {
             assertTrue(caller.callAndWait("book", text("a")).ok());
             String without = config("", box.bothProtocols("one")).replaceAll("(?s)procedures:.*", "")
                 .replaceAll("  in: [^\\n]*\\n", "");
             assertNull(rig.node.change(SidecarRig.config(without)).get(RpcRig.TIMEOUT_S, TimeUnit.SECONDS));
-            assertTrue(caller.callAndWait("book", text("b")).ok(), "it was connected before");
+            assertTrue(caller.callAndWait("book", text("b")).ok(), "a connection made before the reload is still served");
             caller.closed().get(RpcRig.TIMEOUT_S, TimeUnit.SECONDS);
             await(() -> rig.node.retiringCount() == 0);
         }
--- a/src/test/java/onyxpaddle/serve/SidecarBodyStreamingTest.java
+++ b/src/test/java/onyxpaddle/serve/SidecarBodyStreamingTest.java
@@ -14,7 +14,7 @@
 import onyxpaddle.standin.StandInServer;
 import org.junit.jupiter.api.Test;
 
-/** Bodies that are larger than what a node by file may hold are passed on as they come. */
+/** A sidecar streams bodies that are larger than the amount it may buffer ({@code held}). */
 class SidecarBodyStreamingTest {
     private static final int LENGTH = 12 << 20;
 
@@ -23,7 +23,7 @@
     }
 
     @Test
-    void manyAtOnceGoThroughLessMemoryThanOneOfThemHas() throws Exception {
+    void concurrentLargeBodiesPassWithLittleMemory() throws Exception {
         byte[] body = new byte[LENGTH];
         try (StandInServer box = new StandInServer("box", 0); SidecarRig rig = new SidecarRig(config("64 KiB", box))) {
             List<CompletableFuture<HttpResponse<String>>> answers = new ArrayList<>();
@@ -42,7 +42,7 @@
     }
 
     @Test
-    void nothingAtAllNeedBeHeld() throws Exception {
+    void bodiesPassWithoutAnyBuffering() throws Exception {
         try (StandInServer box = new StandInServer("box", 0); SidecarRig rig = new SidecarRig(config("0 B", box))) {
             for (int length : new int[] {0, 1, 100, 70_000}) {
                 assertEquals("box POST /visits " + length + " bytes\n", rig.post("/visits", "x".repeat(length)).body());
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void whatIsLargerThanAnyBodyMayBeIsToldSoAtItsHead() throws Exception {
+    void contentLengthAboveTheLimitIsRejectedAtTheHead() throws Exception {
         try (StandInServer box = new StandInServer("box", 0); SidecarRig rig = new SidecarRig(config("64 KiB", box));
                 Client client = new Client(rig.node.address("in"))) {
             assertTrue(client.send("POST /visits HTTP/1.1\r\nHost: a\r\nContent-Length: 70000000\r\n\r\n").readAnswer().startsWith("413"));
--- a/src/test/java/onyxpaddle/serve/SidecarDrainTest.java
+++ b/src/test/java/onyxpaddle/serve/SidecarDrainTest.java
@@ -9,7 +9,7 @@
 import onyxpaddle.standin.StandInServer;
 import org.junit.jupiter.api.Test;
 
-/** The planned end of a sidecar: the application can still call out while it answers what it has taken. */
+/** The planned end of a sidecar: the application can still make outbound calls while it answers its open requests. */
 class SidecarDrainTest {
     private static final String GET = "GET /slots HTTP/1.1\r\nHost: a\r\n";
 
@@ -27,10 +27,10 @@
             assertTrue(app.nextRequest().startsWith("POST /visits"));
             Thread drain = new Thread(rig.node::drain);
             drain.start();
-            // The inbound side is closed for new connections in time; the application, still at work, calls out.
+            // The inbound side stops accepting connections; the application, which is still working, makes an outbound call.
             long end = System.nanoTime() + 10_000_000_000L;
-            while (takes(rig, "in")) {
-                assertTrue(System.nanoTime() < end, "the inbound side goes on listening");
+            while (acceptsConnections(rig, "in")) {
+                assertTrue(System.nanoTime() < end, "the inbound side still accepts connections after 10 s");
                 Thread.sleep(20);
             }
             try (Client outbound = new Client(rig.node.address("out"))) {
@@ -42,11 +42,11 @@
             caller.socket.close();
             drain.join(Loopback.TIMEOUT_MS);
             assertFalse(drain.isAlive());
-            assertFalse(takes(rig, "out"));
+            assertFalse(acceptsConnections(rig, "out"));
         }
     }
 
-    private static boolean takes(SidecarRig rig, String listener) throws Exception {
+    private static boolean acceptsConnections(SidecarRig rig, String listener) throws Exception {
         try (Client client = new Client(rig.node.address(listener))) {
             return client.socket.isConnected();
         } catch (java.net.ConnectException e) {
--- a/src/test/java/onyxpaddle/serve/SidecarOperationsTest.java
+++ b/src/test/java/onyxpaddle/serve/SidecarOperationsTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The door, drain and replacement of a node by configuration file, both protocols, and the commands that ask for them. */
+/** Admin operations, drain and process replacement of a sidecar with listeners of both protocols, through the operator's commands. */
 class SidecarOperationsTest {
     private static final String GET = "GET /slots HTTP/1.1\r\nHost: a\r\n\r\n";
 
@@ -53,10 +53,10 @@
             """.formatted(folder, port, rpcPort, list));
     }
 
-    private record Said(int code, String out, String err) {
+    private record CommandResult(int code, String out, String err) {
     }
 
-    private static Said command(Sidecar node, String... words) {
+    private static CommandResult command(Sidecar node, String... words) {
         StringWriter out = new StringWriter();
         StringWriter err = new StringWriter();
         String[] args = new String[words.length + 3];
@@ -65,7 +65,7 @@
         args[words.length + 1] = "--admin";
         args[words.length + 2] = "127.0.0.1:" + node.adminAddress().getPort();
         int code = Lupinmount.run(args, new PrintWriter(out, true), new PrintWriter(err, true));
-        return new Said(code, out.toString(), err.toString());
+        return new CommandResult(code, out.toString(), err.toString());
     }
 
     private static int freePort() throws IOException {
@@ -75,10 +75,11 @@
     }
 
     @Test
-    void theDoorAnswersTheCommandsOfStaff(@TempDir Path folder) throws Exception {
+    void adminServerAnswersTheNodeCommands(@TempDir Path folder) throws Exception {
         try (StandInServer one = new StandInServer("one", 0); StandInServer two = new StandInServer("two", 0)) {
-            Sidecar node = Sidecar.start(config(folder, 0, 0, "address: \"" + one.hostPort() + "\"", "address: \"" + two.hostPort() + "\""));
-            assertEquals(new Said(0, "yes\n", ""), command(node, "ready"));
+            Sidecar node = Sidecar.start(config(folder, 0, 0, "address: \"" + one.hostPort() + "\"",
+                "address: \"" + two.hostPort() + "\""));
+            assertEquals(new CommandResult(0, "yes\n", ""), command(node, "ready"));
             try (Client client = new Client(node.address("in"))) {
                 assertTrue(client.send(GET).readAnswer().startsWith("200"));
             }
@@ -87,24 +88,24 @@
             assertTrue(figures.contains("svc_hosts_listed 2\n"), figures);
             assertEquals(0, command(node, "disable", "s1").code());
             assertEquals(1, command(node, "disable", "s9").code());
-            Said servers = command(node, "servers");
+            CommandResult servers = command(node, "servers");
             assertEquals(3, servers.out().lines().count());
             assertTrue(servers.out().lines().anyMatch(l -> l.matches("app +s1 .*ready, taken out .*")), servers.out());
             assertTrue(command(node, "servers", "--json").out().startsWith("[{\"pool\":\"app\",\"server\":\"s1\""));
             assertEquals(0, command(node, "enable", "s1").code());
             assertEquals(0, command(node, "drain").code());
-            assertEquals(new Said(1, "no\n", ""), command(node, "ready"));
+            assertEquals(new CommandResult(1, "no\n", ""), command(node, "ready"));
             assertEquals(0, command(node, "undrain").code());
             assertEquals(0, command(node, "ready").code());
             node.stop();
-            Said gone = command(node, "ready");
-            assertEquals(1, gone.code());
-            assertTrue(gone.err().contains("does not answer"), gone.err());
+            CommandResult stopped = command(node, "ready");
+            assertEquals(1, stopped.code());
+            assertTrue(stopped.err().contains("does not answer"), stopped.err());
         }
     }
 
     @Test
-    void aDrainEmptiesBothProtocolsAndUndrainServesThemAgain(@TempDir Path folder) throws Exception {
+    void drainClosesConnectionsOfBothProtocolsAndUndrainServesAgain(@TempDir Path folder) throws Exception {
         try (FakeServer box = new FakeServer("box")) {
             Sidecar node = Sidecar.start(config(folder, 0, 0, "address: \"" + box.address() + "\""));
             try (Client idle = new Client(node.address("in")); Client busy = new Client(node.address("in"));
@@ -118,8 +119,8 @@
                 assertNull(idle.readAnswer(), "an idle connection is closed");
                 caller.closed().get(Loopback.TIMEOUT_MS, java.util.concurrent.TimeUnit.MILLISECONDS);
                 box.answers.add(Loopback.ok("taken"));
-                assertEquals("200 taken", busy.readAnswer(), "what was taken is answered");
-                assertNull(busy.readAnswer(), "and its connection closed");
+                assertEquals("200 taken", busy.readAnswer(), "an open request is answered");
+                assertNull(busy.readAnswer(), "its connection is closed after the answer");
                 assertEquals(0, command(node, "undrain").code());
                 try (Client again = new Client(node.address("in"))) {
                     box.answers.add(Loopback.ok("after"));
@@ -131,7 +132,7 @@
     }
 
     @Test
-    void aSecondProcessTakesTheFirstOnesPlaceAtBothListeners(@TempDir Path folder) throws Exception {
+    void secondProcessTakesOverBothListeners(@TempDir Path folder) throws Exception {
         int port = freePort();
         int calls = freePort();
         try (StandInServer one = new StandInServer("one", 0); StandInServer two = new StandInServer("two", 0)) {
@@ -143,14 +144,14 @@
             Thread end = new Thread(first::drain);
             end.start();
             end.join(Loopback.TIMEOUT_MS);
-            assertFalse(end.isAlive(), "with nothing open the first goes at once");
+            assertFalse(end.isAlive(), "without open requests the first process ends at once");
             first.stop();
             for (int i = 0; i < 20; i++) {
                 try (Client client = new Client(next.address("in"))) {
-                    assertTrue(client.send(GET).readAnswer().startsWith("200 one "), "what was taken out stays out");
+                    assertTrue(client.send(GET).readAnswer().startsWith("200 one "), "a disabled server stays disabled in the new process");
                 }
                 try (RpcCaller caller = new RpcCaller(next.address("calls"))) {
-                    assertFalse(caller.callAndWait("nothing").ok(), "the second one answers calls");
+                    assertFalse(caller.callAndWait("nothing").ok(), "the second process answers calls");
                 }
             }
             next.stop();
@@ -158,7 +159,7 @@
     }
 
     @Test
-    void withoutAFolderTwoNodesCannotClaimOnePort() throws Exception {
+    void withoutAHandoverFolderTwoNodesCannotListenOnOnePort() throws Exception {
         int port = freePort();
         try (StandInServer one = new StandInServer("one", 0)) {
             NodeConfig config = SidecarRig.config(SidecarRig.simpleConfig("", one).replace("127.0.0.1:0", "127.0.0.1:" + port));
@@ -169,13 +170,13 @@
     }
 
     @Test
-    void aReloadLeavesADrainedNodeDrainedItsNewListenersToo(@TempDir Path folder) throws Exception {
+    void reloadKeepsTheDrainAlsoForNewListeners(@TempDir Path folder) throws Exception {
         try (StandInServer one = new StandInServer("one", 0)) {
             String server = "address: \"" + one.hostPort() + "\"";
             Sidecar node = Sidecar.start(config(folder, 0, 0, server));
             assertEquals(0, command(node, "drain").code());
             node.change(config(folder, freePort(), freePort(), server)).get();
-            assertEquals(new Said(1, "no\n", ""), command(node, "ready"));
+            assertEquals(new CommandResult(1, "no\n", ""), command(node, "ready"));
             try (Client client = new Client(node.address("in"))) {
                 assertTrue(client.send("GET /.lupinmount/ready HTTP/1.1\r\nHost: a\r\n\r\n").readAnswer().startsWith("503"));
             }
@@ -188,7 +189,7 @@
     }
 
     @Test
-    void aDrainWithNoServerKnownEndsWithAnUndrainAndNoYesUntilThereIsOne() throws Exception {
+    void undrainWithoutAKnownServerLeavesTheNodeNotReady() throws Exception {
         try (StandInServer one = new StandInServer("one", 0)) {
             Sidecar node = Sidecar.start(SidecarRig.config(SidecarRig.simpleConfig("", one).replace("servers: [" + one.hostPort() + "]",
                 "discovery: \"127.0.0.1:" + freePort() + "\"").replace("listeners:", "admin: \"127.0.0.1:0\"\nlisteners:")));
@@ -201,13 +202,13 @@
             end.start();
             end.join(Loopback.TIMEOUT_MS);
             assertFalse(end.isAlive());
-            assertEquals(1, command(node, "undrain").code(), "an end is not taken back");
+            assertEquals(1, command(node, "undrain").code(), "a final drain cannot be undone");
             node.stop();
         }
     }
 
     @Test
-    void theTreeOfCommandsTellsItsUse() {
+    void everyCommandPrintsItsUsage() {
         for (String[] args : new String[][] {{"--help"}, {"--version"}, {"serve", "--help"}, {"measure", "--help"}, {"node", "--help"},
                 {"sidecar", "--help"}, {"rpc", "--help"}}) {
             StringWriter out = new StringWriter();
--- a/src/test/java/onyxpaddle/serve/SidecarReloadTest.java
+++ b/src/test/java/onyxpaddle/serve/SidecarReloadTest.java
@@ -21,41 +21,40 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Configurations that change while requests are under way. */
+/** Reloads while requests are in flight. */
 class SidecarReloadTest {
-    private static final long PATIENCE_S = 20;
+    private static final long TIMEOUT_S = 20;
 
-    private static void await(Check check) throws Exception {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_S);
-        while (!check.holds()) {
-            assertTrue(System.nanoTime() < end, "waited in vain");
+    private static void await(Condition condition) throws Exception {
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_S);
+        while (!condition.isMet()) {
+            assertTrue(System.nanoTime() < end, "condition not met within " + TIMEOUT_S + " s");
             Thread.sleep(5);
         }
     }
 
-    private interface Check {
-        boolean holds() throws Exception;
+    private interface Condition {
+        boolean isMet() throws Exception;
     }
 
     /**
-     * A thousand bookings that stand open at the same time, more as they are answered, and twenty changes that move
-     * servers, pools' settings and routes under them: each has one answer, none runs twice, and nothing of the old is
-     * left behind.
+     * A thousand unsafe requests stay open across twenty reloads that change servers, pool settings and routes, with more requests added
+     * after each: every request gets one answer, none runs twice, and no retired configuration remains.
      */
     @Test
-    void aThousandInFlightOverTwentyChanges() throws Exception {
+    void thousandRequestsInFlightOverTwentyReloads() throws Exception {
         try (StandInServer one = new StandInServer("one", 0).held(true);
                 StandInServer two = new StandInServer("two", 0).held(true);
-                SidecarRig rig = new SidecarRig(manyClients(config(0, one, two)))) {
+                SidecarRig rig = new SidecarRig(withManyClients(config(0, one, two)))) {
             List<CompletableFuture<HttpResponse<String>>> answers = new ArrayList<>();
             while (answers.size() < 1000) {
                 book(rig, answers);
             }
             await(() -> one.served() + two.served() == 1000);
-            assertEquals(0, answers.stream().filter(CompletableFuture::isDone).count(), "not in flight any more");
+            assertEquals(0, answers.stream().filter(CompletableFuture::isDone).count(), "requests answered before the reloads");
             for (int change = 1; change <= 20; change++) {
-                String next = manyClients(config(change, one, two));
-                assertNull(rig.node.change(SidecarRig.config(next)).get(PATIENCE_S, TimeUnit.SECONDS));
+                String next = withManyClients(config(change, one, two));
+                assertNull(rig.node.change(SidecarRig.config(next)).get(TIMEOUT_S, TimeUnit.SECONDS));
                 for (int i = 0; i < 10; i++) {
                     book(rig, answers);
                 }
@@ -63,9 +62,9 @@
             one.held(false);
             two.held(false);
             for (int i = 0; i < answers.size(); i++) {
-                HttpResponse<String> answer = answers.get(i).get(PATIENCE_S, TimeUnit.SECONDS);
+                HttpResponse<String> answer = answers.get(i).get(TIMEOUT_S, TimeUnit.SECONDS);
                 assertEquals(200, answer.statusCode());
-                assertEquals(1, one.runs("v" + i) + two.runs("v" + i), "a booking ran more than once, or never");
+                assertEquals(1, one.runs("v" + i) + two.runs("v" + i), "an unsafe request did not run exactly once");
             }
             await(() -> rig.node.retiringCount() == 0);
         }
@@ -76,7 +75,7 @@
             .POST(BodyPublishers.ofString("x")).build(), BodyHandlers.ofString()));
     }
 
-    private static String manyClients(String config) {
+    private static String withManyClients(String config) {
         return config.replace("listeners:", "limits: {descriptors: 10000}\nlisteners:")
             .replace("book: {effect: unsafe, deadline: 5 s}", "book: {effect: unsafe, deadline: 60 s}");
     }
@@ -93,65 +92,65 @@
     }
 
     @Test
-    void poolThatGoesWithRequestsInFlightStillAnswersThem() throws Exception {
+    void removedPoolStillAnswersItsRequestsInFlight() throws Exception {
         try (StandInServer old = new StandInServer("old", 0).held(true);
                 StandInServer next = new StandInServer("next", 0); SidecarRig rig = new SidecarRig(SidecarRig.simpleConfig("", old));
-                Client kept = new Client(rig.node.address("in"))) {
-            kept.send("POST /visits HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\n\r\nx");
+                Client open = new Client(rig.node.address("in"))) {
+            open.send("POST /visits HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\n\r\nx");
             await(() -> old.served() == 1);
             String other = SidecarRig.simpleConfig("", next).replace("  app:", "  other:").replace("pool: app", "pool: other");
-            assertNull(rig.node.change(SidecarRig.config(other)).get(PATIENCE_S, TimeUnit.SECONDS));
+            assertNull(rig.node.change(SidecarRig.config(other)).get(TIMEOUT_S, TimeUnit.SECONDS));
             assertEquals("next POST /visits 1 bytes\n", rig.post("/visits", "y").body());
             assertEquals(1, rig.node.retiringCount());
             old.held(false);
-            assertEquals("200 old POST /visits 1 bytes\n", kept.readAnswer());
+            assertEquals("200 old POST /visits 1 bytes\n", open.readAnswer());
             await(() -> rig.node.retiringCount() == 0);
         }
     }
 
-    /** A request whose head was read by the old routes and whose body comes after the change. */
+    /** The head of a request is routed before a reload, and its body arrives after it. */
     @Test
-    void requestHalfReadAtAChangeGoesWhereItsHeadSaid() throws Exception {
+    void requestPartlyReadAtAReloadKeepsItsRoute() throws Exception {
         try (StandInServer old = new StandInServer("old", 0); StandInServer next = new StandInServer("next", 0);
                 SidecarRig rig = new SidecarRig(SidecarRig.simpleConfig("", old));
-                Client half = new Client(rig.node.address("in"))) {
-            half.send("POST /visits HTTP/1.1\r\nHost: a\r\nContent-Length: 4\r\nExpect: 100-continue\r\n\r\n");
-            assertTrue(half.readAnswer().startsWith("100"));
+                Client partial = new Client(rig.node.address("in"))) {
+            partial.send("POST /visits HTTP/1.1\r\nHost: a\r\nContent-Length: 4\r\nExpect: 100-continue\r\n\r\n");
+            assertTrue(partial.readAnswer().startsWith("100"));
             String other = SidecarRig.simpleConfig("", next).replace("  app:", "  other:").replace("pool: app", "pool: other");
-            assertNull(rig.node.change(SidecarRig.config(other)).get(PATIENCE_S, TimeUnit.SECONDS));
+            assertNull(rig.node.change(SidecarRig.config(other)).get(TIMEOUT_S, TimeUnit.SECONDS));
             Thread.sleep(150);
-            assertEquals("200 old POST /visits 4 bytes\n", half.send("late").readAnswer());
+            assertEquals("200 old POST /visits 4 bytes\n", partial.send("late").readAnswer());
             await(() -> rig.node.retiringCount() == 0);
         }
     }
 
     @Test
-    void portThatIsTakenChangesNothing() throws Exception {
-        ServerSocket taken = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"));
+    void reloadWithAPortInUseChangesNothing() throws Exception {
+        ServerSocket occupied = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"));
         try (StandInServer old = new StandInServer("old", 0); StandInServer next = new StandInServer("next", 0);
                 SidecarRig rig = new SidecarRig(SidecarRig.simpleConfig("", old))) {
             String wanted = SidecarRig.simpleConfig("", next).replace("  in: {address: \"127.0.0.1:0\"}",
-                "  in: {address: \"127.0.0.1:0\"}\n  more: {address: \"127.0.0.1:" + taken.getLocalPort() + "\"}")
+                "  in: {address: \"127.0.0.1:0\"}\n  more: {address: \"127.0.0.1:" + occupied.getLocalPort() + "\"}")
                 + "  - {name: more, listener: more, path: /, pool: app, class: book}\n";
-            String why = rig.node.change(SidecarRig.config(wanted)).get(PATIENCE_S, TimeUnit.SECONDS);
-            assertTrue(why.startsWith("cannot listen on 127.0.0.1:" + taken.getLocalPort() + " (more)"), why);
+            String error = rig.node.change(SidecarRig.config(wanted)).get(TIMEOUT_S, TimeUnit.SECONDS);
+            assertTrue(error.startsWith("cannot listen on 127.0.0.1:" + occupied.getLocalPort() + " (more)"), error);
             assertEquals("old POST /visits 1 bytes\n", rig.post("/visits", "x").body());
-            taken.close();
-            assertNull(rig.node.change(SidecarRig.config(wanted)).get(PATIENCE_S, TimeUnit.SECONDS));
+            occupied.close();
+            assertNull(rig.node.change(SidecarRig.config(wanted)).get(TIMEOUT_S, TimeUnit.SECONDS));
             assertEquals("next POST /visits 1 bytes\n", rig.post("/visits", "x").body());
             assertNotNull(rig.node.address("more"));
         }
     }
 
     @Test
-    void listenerThatGoesAnswersWhatItHasAndTakesNoMore() throws Exception {
+    void removedListenerAnswersItsOpenConnectionsAndAcceptsNoMore() throws Exception {
         try (StandInServer app = new StandInServer("app", 0); SidecarRig rig = new SidecarRig(SidecarRig.simpleConfig("", app));
                 Client open = new Client(rig.node.address("in"))) {
             assertEquals("200 app GET /slots 0 bytes\n", open.send("GET /slots HTTP/1.1\r\nHost: a\r\n\r\n").readAnswer());
             int port = rig.node.address("in").getPort();
             String moved = SidecarRig.simpleConfig("", app).replace("  in: {", "  new: {").replace("listener: in", "listener: new");
-            assertNull(rig.node.change(SidecarRig.config(moved)).get(PATIENCE_S, TimeUnit.SECONDS));
-            // An open connection has one more answer, which says that it is the last.
+            assertNull(rig.node.change(SidecarRig.config(moved)).get(TIMEOUT_S, TimeUnit.SECONDS));
+            // An open connection gets one more answer, marked as the last by `connection: close`.
             open.send("GET /slots HTTP/1.1\r\nHost: a\r\n\r\n");
             String head = Loopback.head(open.socket.getInputStream());
             assertTrue(head.startsWith("HTTP/1.1 200") && head.toLowerCase().contains("connection: close"), head);
@@ -164,7 +163,7 @@
     }
 
     @Test
-    void faultyFileChangesNothing(@TempDir Path folder) throws Exception {
+    void invalidFileChangesNothing(@TempDir Path folder) throws Exception {
         try (StandInServer app = new StandInServer("app", 0); SidecarRig rig = new SidecarRig(SidecarRig.simpleConfig("", app))) {
             Path file = Files.writeString(folder.resolve("node.yaml"), SidecarRig.simpleConfig("attemps: 2", app));
             rig.node.reload(file);
@@ -174,9 +173,9 @@
         }
     }
 
-    /** Changes every 50 ms for two seconds, none of them waited for. */
+    /** Reloads every 50 ms for two seconds, without waiting for any of them to finish. */
     @Test
-    void changeEveryFiftyMillisecondsUnderLoad() throws Exception {
+    void reloadEveryFiftyMillisecondsUnderLoad() throws Exception {
         try (StandInServer one = new StandInServer("one", 0).delay(5, 5); StandInServer two = new StandInServer("two", 0);
                 SidecarRig rig = new SidecarRig(config(0, one, two))) {
             List<CompletableFuture<String>> changes = new ArrayList<>();
@@ -188,20 +187,20 @@
                 }
             }
             for (CompletableFuture<String> change : changes) {
-                assertNull(change.get(PATIENCE_S, TimeUnit.SECONDS));
+                assertNull(change.get(TIMEOUT_S, TimeUnit.SECONDS));
             }
             await(() -> rig.node.retiringCount() == 0);
         }
     }
 
     @Test
-    void listFileIsFollowedAndHalfAListIsNot(@TempDir Path folder) throws Exception {
+    void listFileIsFollowedAndATruncatedListIsIgnored(@TempDir Path folder) throws Exception {
         try (StandInServer one = new StandInServer("one", 0); StandInServer two = new StandInServer("two", 0)) {
             Path list = Files.writeString(folder.resolve("boxes.yaml"), "servers: [\"" + one.hostPort() + "\"]\n");
             try (SidecarRig rig = new SidecarRig(SidecarRig.simpleConfig("", one)
                     .replace("servers: [" + one.hostPort() + "]", "file: " + list))) {
                 await(() -> rig.get("/slots").statusCode() == 200);
-                // Cut off in the middle of its second server, whose port would be another's.
+                // Truncated within the second server, whose port number would then be that of another server.
                 Files.writeString(list, "servers:\n  - \"" + two.hostPort() + "\"\n  - \"127.0.0.1:1");
                 Thread.sleep(900);
                 assertTrue(rig.get("/slots").body().startsWith("one "));
@@ -217,14 +216,15 @@
         }
     }
 
-    /** Two of them would else share the port, each with a part of the connections, and neither be told. */
+    /** Without this check two sidecars would share the port, each with a part of the connections, and neither would notice. */
     @Test
-    void portOfAnotherSidecarIsTaken() throws Exception {
+    void portOfAnotherSidecarIsRejected() throws Exception {
         try (StandInServer box = new StandInServer("box", 0); SidecarRig first = new SidecarRig(SidecarRig.simpleConfig("", box))) {
-            String same = SidecarRig.simpleConfig("", box).replace("127.0.0.1:0\"", "127.0.0.1:" + first.node.address("in").getPort() + "\"");
-            String why = org.junit.jupiter.api.Assertions.assertThrows(java.io.IOException.class, () -> new SidecarRig(same))
+            String same = SidecarRig.simpleConfig("", box)
+                .replace("127.0.0.1:0\"", "127.0.0.1:" + first.node.address("in").getPort() + "\"");
+            String error = org.junit.jupiter.api.Assertions.assertThrows(java.io.IOException.class, () -> new SidecarRig(same))
                 .getMessage();
-            assertTrue(why.startsWith("cannot listen on "), why);
+            assertTrue(error.startsWith("cannot listen on "), error);
         }
     }
 }
--- a/src/test/java/onyxpaddle/serve/SidecarRig.java
+++ b/src/test/java/onyxpaddle/serve/SidecarRig.java
@@ -15,7 +15,7 @@
 import onyxpaddle.config.Value;
 import onyxpaddle.standin.StandInServer;
 
-/** A sidecar's node on loopback, by a configuration in text, and an ordinary HTTP client. */
+/** A sidecar on loopback, started from configuration text, and an ordinary HTTP client. */
 final class SidecarRig implements AutoCloseable {
     static final Duration TIMEOUT = Duration.ofSeconds(20);
 
@@ -26,7 +26,7 @@
         node = Sidecar.start(config(config));
     }
 
-    /** A sound configuration from text. */
+    /** Reads configuration text; throws if it has faults. */
     static NodeConfig config(String text) {
         Faults faults = new Faults();
         Value value = SourceFile.parse("test.yaml", text, faults);
@@ -38,7 +38,7 @@
         return config;
     }
 
-    /** One listener `in`, one pool `app` of these servers, two classes, and further lines for the pool. */
+    /** A configuration with one listener {@code in}, two classes, and one pool {@code app} of these servers and {@code poolLines}. */
     static String simpleConfig(String poolLines, StandInServer... servers) {
         StringBuilder list = new StringBuilder();
         for (StandInServer server : servers) {
--- a/src/test/java/onyxpaddle/serve/SiteAdmissionTest.java
+++ b/src/test/java/onyxpaddle/serve/SiteAdmissionTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A node that is told of sites: what it refuses takes nothing below, and what it can't use it serves without. */
+/** A node with a site-loss plan: requests that the plan refuses reach no server, and a plan that cannot be used is ignored. */
 class SiteAdmissionTest {
     private static final String SITES = """
         version: 1
@@ -43,10 +43,11 @@
         return Files.writeString(folder.resolve("loss.yaml"), "version: 1\nsites: sites.yaml\nplan: plan.yaml\n");
     }
 
-    /** No server of site b is listed, and 0.9 seconds of work a second are left to this node: of calls of a second each, hardly one. */
+    /** No server of site b is listed, which leaves this node 0.9 s of work per second: less than one of these calls of 1 s each. */
     @Test
-    void whatIsRefusedIsAnsweredAtOnceAndNoServerHearsOfIt() throws Exception {
-        try (FakeServer server = new FakeServer("s0"); Loopback rig = new Loopback(files(SITES).toString(), server); Client client = rig.client()) {
+    void refusedRequestIsAnsweredByTheNodeAndReachesNoServer() throws Exception {
+        try (FakeServer server = new FakeServer("s0"); Loopback rig = new Loopback(files(SITES).toString(), server);
+                Client client = rig.client()) {
             for (int i = 0; i < 40; i++) {
                 server.answers.add(Loopback.ok("yes"));
             }
@@ -59,35 +60,39 @@
             assertTrue(served < 20, served + " served");
             assertEquals(served, server.requests.size());
             server.answers.add(Loopback.ok("yes"));
-            assertEquals("200 yes", client.send(Loopback.request("b", "book", "Content-Length: 0")).readAnswer(), "a class that the plan does not know");
+            assertEquals("200 yes", client.send(Loopback.request("b", "book", "Content-Length: 0")).readAnswer(),
+                "a class that the plan does not contain is served");
         }
     }
 
-    /** The one server is of site a, so that its hold leaves none: a request waits for its release, and is served. */
+    /** The only server is in site a, so that a hold of the site leaves none: a request waits for the release and is then served. */
     @Test
-    void whatOperatorsHoldGetsNothingUntilItIsReleased() throws Exception {
-        try (FakeServer server = new FakeServer("s0"); Loopback rig = new Loopback(files(SITES.replace("capacity: 1,", "capacity: 90,")).toString(), server)) {
-            assertTrue(site(rig, 0, "state").contains("{\"pool\":\"\",\"site\":\"a\",\"phase\":\"sound\",\"held\":false,\"penalty\":0}"));
-            assertEquals("yes\n", site(rig, 0, "hold", "a"));
-            assertTrue(site(rig, 1, "hold", "b").contains("or holds all others"));
-            assertTrue(site(rig, 1, "release", "c").contains("does not know the site `c`"));
+    void heldSiteGetsNoRequestsUntilItsRelease() throws Exception {
+        try (FakeServer server = new FakeServer("s0");
+                Loopback rig = new Loopback(files(SITES.replace("capacity: 1,", "capacity: 90,")).toString(), server)) {
+            assertTrue(siteCommand(rig, 0, "state")
+                .contains("{\"pool\":\"\",\"site\":\"a\",\"phase\":\"sound\",\"held\":false,\"penalty\":0}"));
+            assertEquals("yes\n", siteCommand(rig, 0, "hold", "a"));
+            assertTrue(siteCommand(rig, 1, "hold", "b").contains("or holds all others"));
+            assertTrue(siteCommand(rig, 1, "release", "c").contains("does not know the site `c`"));
             server.answers.add(Loopback.ok("yes"));
-            // Its connection is made here: a node closes a new one that says nothing for 2.2 s.
+            // The client connects only now, as the node closes a new connection that sends nothing for 2.2 s.
             Client client = rig.client().send(Loopback.request("b", "book", "Content-Length: 0"));
-            assertTrue(site(rig, 0, "state").contains("\"phase\":\"lost\",\"held\":true"));
-            Loopback.await(() -> told(0, rig, "node", "figures").contains("svc_inflight 1\n"));
+            assertTrue(siteCommand(rig, 0, "state").contains("\"phase\":\"lost\",\"held\":true"));
+            Loopback.await(() -> command(0, rig, "node", "figures").contains("svc_inflight 1\n"));
             assertEquals(0, server.requests.size());
-            site(rig, 0, "release", "a");
+            siteCommand(rig, 0, "release", "a");
             assertEquals("200 yes", client.readAnswer());
             client.close();
         }
     }
 
-    private static String site(Loopback rig, int code, String... words) {
-        return told(code, rig, java.util.stream.Stream.concat(java.util.stream.Stream.of("site"), java.util.Arrays.stream(words)).toArray(String[]::new));
+    private static String siteCommand(Loopback rig, int code, String... words) {
+        return command(code, rig, java.util.stream.Stream.concat(java.util.stream.Stream.of("site"), java.util.Arrays.stream(words))
+            .toArray(String[]::new));
     }
 
-    private static String told(int code, Loopback rig, String... words) {
+    private static String command(int code, Loopback rig, String... words) {
         java.io.StringWriter out = new java.io.StringWriter();
         java.io.PrintWriter writer = new java.io.PrintWriter(out, true);
         List<String> all = new java.util.ArrayList<>(List.of(words));
@@ -97,7 +102,7 @@
     }
 
     @Test
-    void aNodeWithAPlanThatItCantUseServesWithout() throws Exception {
+    void nodeWithAnUnusablePlanServesWithoutIt() throws Exception {
         Path file = files(SITES);
         Files.writeString(folder.resolve("sites.yaml"), SITES.replace("capacity: 1", "capacity: 2"));
         try (FakeServer server = new FakeServer("s0"); Loopback rig = new Loopback(file.toString(), server); Client client = rig.client()) {
@@ -109,9 +114,10 @@
     }
 
     @Test
-    void theGateIsForThisNodesClassesAndSite() throws Exception {
+    void gateExistsOnlyForThisNodesClassesAndSite() throws Exception {
         try (FakeServer server = new FakeServer("s0"); FakeDiscovery discovery = new FakeDiscovery("")) {
-            Settings settings = PlatformConfig.parse(Loopback.config(discovery, server).getBytes(StandardCharsets.UTF_8), Map.of()).settings();
+            Settings settings = PlatformConfig.parse(Loopback.config(discovery, server).getBytes(StandardCharsets.UTF_8), Map.of())
+                .settings();
             assertNotNull(SiteGates.of(files(SITES).toString(), settings, 1));
             assertNull(SiteGates.of(files(SITES.replace("read:", "write:")).toString(), settings, 1));
             assertNull(SiteGates.of(files(SITES.replace("a:", "c:")).toString(), settings, 1));
--- a/src/test/java/onyxpaddle/serve/StreamedBodiesTest.java
+++ b/src/test/java/onyxpaddle/serve/StreamedBodiesTest.java
@@ -22,11 +22,11 @@
 import onyxpaddle.serve.Loopback.FakeServer;
 import org.junit.jupiter.api.Test;
 
-/** Bodies larger than what is held: passed on as they come, in a window, and broken off so that it can be told. */
+/** Bodies above the buffering limit are streamed through a bounded window, and an aborted body is visible to the client. */
 class StreamedBodiesTest {
     private static final int MB = 1 << 20;
 
-    /** A server whose answers are programs. */
+    /** A server that answers each request by running a script. */
     private static final class Scripted extends FakeServer {
         interface Script {
             void run(String head, InputStream in, OutputStream out, Socket socket) throws Exception;
@@ -72,7 +72,7 @@
             }
             byte[] part = in.readNBytes(size);
             if (part.length < size) {
-                throw new IOException("breaks off");
+                throw new IOException("connection closed within a chunked body");
             }
             all.write(part);
             line(in);
@@ -83,7 +83,7 @@
         StringBuilder line = new StringBuilder();
         for (int next = in.read(); next != '\n'; next = in.read()) {
             if (next < 0) {
-                throw new IOException("breaks off");
+                throw new IOException("connection closed within a chunked body");
             }
             line.append((char) next);
         }
@@ -91,28 +91,28 @@
     }
 
     @Test
-    void firstBytesLeaveBeforeTheRestIsThere() throws Exception {
+    void firstBytesAreForwardedBeforeTheRestArrives() throws Exception {
         byte[] body = noise(4 * MB);
-        BlockingQueue<Integer> goOn = new LinkedBlockingQueue<>();
+        BlockingQueue<Integer> sendRest = new LinkedBlockingQueue<>();
         try (Scripted server = new Scripted("s1", (head, in, out, socket) -> {
             out.write(ascii("HTTP/1.1 200 OK\r\nContent-Length: " + body.length + "\r\n\r\n"));
             out.write(body, 0, 100);
-            goOn.poll(Loopback.TIMEOUT_MS, TimeUnit.MILLISECONDS);
+            sendRest.poll(Loopback.TIMEOUT_MS, TimeUnit.MILLISECONDS);
             out.write(body, 100, body.length - 100);
-        }); Loopback on = new Loopback(server); Client client = on.client()) {
+        }); Loopback rig = new Loopback(server); Client client = rig.client()) {
             for (int i = 0; i < 2; i++) {
                 client.send(Loopback.request("r" + i, "read"));
                 InputStream in = client.socket.getInputStream();
                 assertTrue(Loopback.head(in).contains("content-length: " + body.length));
                 assertArrayEquals(Arrays.copyOf(body, 100), in.readNBytes(100));
-                goOn.add(1);
+                sendRest.add(1);
                 assertArrayEquals(Arrays.copyOfRange(body, 100, body.length), in.readNBytes(body.length - 100));
             }
         }
     }
 
     @Test
-    void chunksAndAnswersThatEndWithTheirConnectionPass() throws Exception {
+    void chunkedAnswersAndAnswersDelimitedByClosePass() throws Exception {
         byte[] body = noise(300_000);
         try (Scripted server = new Scripted("s1", (head, in, out, socket) -> {
             if (head.contains("r0")) {
@@ -129,7 +129,7 @@
                 out.write(body, 0, length);
                 socket.close();
             }
-        }); Loopback on = new Loopback(server); Client client = on.client()) {
+        }); Loopback rig = new Loopback(server); Client client = rig.client()) {
             InputStream in = client.socket.getInputStream();
             for (int i = 0; i < 2; i++) {
                 client.send(Loopback.request("r" + i, "read"));
@@ -137,13 +137,13 @@
                 assertArrayEquals(body, chunks(in));
             }
             client.send(Loopback.request("r2", "read"));
-            assertTrue(Loopback.head(in).contains("content-length: 100"), "a small one is held whole");
+            assertTrue(Loopback.head(in).contains("content-length: 100"), "a small answer is buffered whole");
             assertArrayEquals(Arrays.copyOf(body, 100), in.readNBytes(100));
         }
     }
 
     @Test
-    void slowReaderHoldsAWindowAndNoMore() throws Exception {
+    void slowReaderIsBoundedByTheWindow() throws Exception {
         byte[] part = noise(MB);
         AtomicLong written = new AtomicLong();
         try (Scripted server = new Scripted("s1", (head, in, out, socket) -> {
@@ -152,7 +152,7 @@
                 out.write(part, 0, MB / 16);
                 written.addAndGet(MB / 16);
             }
-        }); Loopback on = new Loopback(server); Client client = new Client(on.node.address())) {
+        }); Loopback rig = new Loopback(server); Client client = new Client(rig.node.address())) {
             client.socket.setReceiveBufferSize(64 * 1024);
             client.send(Loopback.request("r1", "read"));
             InputStream in = client.socket.getInputStream();
@@ -160,14 +160,14 @@
             long before;
             do {
                 before = written.get();
-                // What the system holds on the way settles; other clients are served meanwhile.
-                try (Client other = on.client()) {
+                // Gives the socket buffers time to fill; other clients are served meanwhile.
+                try (Client other = rig.client()) {
                     for (int i = 0; i < 200; i++) {
                         other.send("GET /ready HTTP/1.1\r\n\r\n").readAnswer();
                     }
                 }
             } while (written.get() > before);
-            assertTrue(before < 20L * MB, before + " bytes are on their way");
+            assertTrue(before < 20L * MB, before + " bytes were taken from the server for a client that reads nothing");
             byte[] got = new byte[MB / 16];
             for (int i = 0; i < 32 * 16; i++) {
                 assertEquals(got.length, in.readNBytes(got, 0, got.length));
@@ -177,16 +177,16 @@
     }
 
     @Test
-    void whatBreaksOffIsToldToTheClientAndNotSentAgain() throws Exception {
+    void truncatedAnswerIsVisibleToTheClientAndNotRetried() throws Exception {
         byte[] body = noise(200_000);
         try (Scripted server = new Scripted("s1", (head, in, out, socket) -> {
             out.write(ascii("HTTP/1.1 200 OK\r\n" + (head.contains("r0") ? "Content-Length: 300000" : "Transfer-Encoding: chunked")
                 + "\r\n\r\n" + (head.contains("r0") ? "" : "493e0\r\n")));
             out.write(body);
             socket.close();
-        }); Loopback on = new Loopback(server)) {
+        }); Loopback rig = new Loopback(server)) {
             for (int i = 0; i < 2; i++) {
-                try (Client client = on.client()) {
+                try (Client client = rig.client()) {
                     client.send(Loopback.request("r" + i, "read"));
                     InputStream in = client.socket.getInputStream();
                     Loopback.head(in);
@@ -197,7 +197,7 @@
                     } catch (SocketException e) {
                         reset = true;
                     }
-                    assertTrue(reset || got < 300_000 && i == 0, "the client can tell");
+                    assertTrue(reset || got < 300_000 && i == 0, "the client cannot tell that the answer is truncated");
                 }
             }
             assertEquals(2, server.requests.size());
@@ -205,14 +205,14 @@
     }
 
     @Test
-    void bodyGoesOnAsItComesAndIsAnswered() throws Exception {
+    void requestBodyIsStreamedAndAnswered() throws Exception {
         byte[] body = noise(3 * MB);
         BlockingQueue<byte[]> got = new LinkedBlockingQueue<>();
         try (Scripted server = new Scripted("s1", (head, in, out, socket) -> {
             boolean chunked = head.toLowerCase(java.util.Locale.ROOT).contains("transfer-encoding: chunked");
             got.add(chunked ? chunks(in) : in.readNBytes(body.length));
             out.write(ascii(Loopback.ok("whole")));
-        }); Loopback on = new Loopback(server); Client client = on.client()) {
+        }); Loopback rig = new Loopback(server); Client client = rig.client()) {
             client.send(Loopback.request("r1", "book", "Content-Length: " + body.length, "Expect: 100-continue"));
             assertTrue(Loopback.head(client.socket.getInputStream()).startsWith("HTTP/1.1 100"));
             client.socket.getOutputStream().write(body);
@@ -231,29 +231,29 @@
     }
 
     @Test
-    void bodyThatWentOnInPartIsRefusedAndNeverSentAgain() throws Exception {
+    void refusalAfterAStreamedBodyIsNotRetried() throws Exception {
         byte[] body = noise(2 * MB);
         Scripted.Script full = (head, in, out, socket) -> {
             in.readNBytes(head.contains("r1") ? body.length : 3);
             out.write(ascii("HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n"));
         };
         try (Scripted one = new Scripted("s1", full); Scripted other = new Scripted("s2", full);
-                Loopback on = new Loopback(one, other); Client client = on.client()) {
+                Loopback rig = new Loopback(one, other); Client client = rig.client()) {
             client.send(Loopback.request("r1", "book", "Content-Length: " + body.length));
             client.socket.getOutputStream().write(body);
             assertTrue(client.readAnswer().startsWith("503"));
             assertEquals(1, one.requests.size() + other.requests.size());
             client.send(Loopback.request("r2", "book", "Content-Length: 3")).send("abc");
-            assertTrue(client.readAnswer().startsWith("503"), "the connection goes on");
+            assertTrue(client.readAnswer().startsWith("503"), "the client connection stays usable");
         }
     }
 
     @Test
-    void clientThatLeavesEndsTheAttemptBeforeItIsWhole() throws Exception {
+    void clientDisconnectEndsTheAttemptBeforeTheBodyIsComplete() throws Exception {
         BlockingQueue<Integer> got = new LinkedBlockingQueue<>();
         try (Scripted server = new Scripted("s1", (head, in, out, socket) -> got.add(in.readNBytes(3 * MB).length));
-                Loopback on = new Loopback(server)) {
-            try (Client client = on.client()) {
+                Loopback rig = new Loopback(server)) {
+            try (Client client = rig.client()) {
                 client.send(Loopback.request("r1", "book", "Content-Length: " + 3 * MB));
                 client.socket.getOutputStream().write(noise(2 * MB));
                 server.nextRequest();
@@ -263,7 +263,7 @@
     }
 
     @Test
-    void chunksBeyondTheLimitNeverBecomeARequest() throws Exception {
+    void chunkedBodyAboveTheLimitNeverCompletesARequest() throws Exception {
         BlockingQueue<Integer> got = new LinkedBlockingQueue<>();
         byte[] part = noise(MB);
         try (Scripted server = new Scripted("s1", (head, in, out, socket) -> {
@@ -272,7 +272,7 @@
             } catch (IOException e) {
                 got.add(-1);
             }
-        }); Loopback on = new Loopback(server); Client client = on.client()) {
+        }); Loopback rig = new Loopback(server); Client client = rig.client()) {
             client.send(Loopback.request("r1", "book", "Transfer-Encoding: chunked"));
             try {
                 for (int i = 0; i < 42; i++) {
@@ -282,25 +282,25 @@
                 }
                 client.send("0\r\n\r\n");
             } catch (SocketException e) {
-                // It is closed on the client, which may come before the client has sent all of it.
+                // The node closes the connection, possibly before the client has sent all of it.
             }
-            assertEquals(-1, got.poll(Loopback.TIMEOUT_MS, TimeUnit.MILLISECONDS), "its last byte has never come");
+            assertEquals(-1, got.poll(Loopback.TIMEOUT_MS, TimeUnit.MILLISECONDS), "the server must not get a complete body");
         }
     }
 
     @Test
-    void statusLineWithoutAReasonIsSound() throws Exception {
+    void statusLineWithoutAReasonIsAccepted() throws Exception {
         try (FakeServer server = new FakeServer("s1", "HTTP/1.1 200 \r\nContent-Length: 4\r\n\r\nfine",
-                "HTTP/1.1 102 \r\n\r\nHTTP/1.1 200 \r\nContent-Length: 4\r\n\r\nfine"); Loopback on = new Loopback(server);
-                Client client = on.client()) {
+                "HTTP/1.1 102 \r\n\r\nHTTP/1.1 200 \r\nContent-Length: 4\r\n\r\nfine"); Loopback rig = new Loopback(server);
+                Client client = rig.client()) {
             assertEquals("200 fine", client.send(Loopback.request("r1", "book", "Content-Length: 0")).readAnswer());
             assertEquals("200 fine", client.send(Loopback.request("r2", "book", "Content-Length: 0")).readAnswer());
         }
     }
 
     @Test
-    void tooLargeIsToldAtOnce() throws Exception {
-        try (FakeServer server = new FakeServer("s1"); Loopback on = new Loopback(server); Client client = on.client()) {
+    void contentLengthAboveTheLimitIsRejectedAtTheHead() throws Exception {
+        try (FakeServer server = new FakeServer("s1"); Loopback rig = new Loopback(server); Client client = rig.client()) {
             assertTrue(client.send(Loopback.request("r1", "book", "Content-Length: 60000000")).readAnswer().startsWith("413"));
             assertNull(client.readAnswer());
             assertEquals(0, server.requests.size());
@@ -308,7 +308,7 @@
     }
 
     @Test
-    void answerInSmallPiecesComesWhole() throws Exception {
+    void answerInSmallPiecesArrivesWhole() throws Exception {
         byte[] body = noise(100_000);
         try (Scripted server = new Scripted("s1", (head, in, out, socket) -> {
             socket.setTcpNoDelay(true);
@@ -316,7 +316,7 @@
             for (int at = 0; at < body.length; at += 50) {
                 out.write(body, at, 50);
             }
-        }); Loopback on = new Loopback(server); Client client = on.client()) {
+        }); Loopback rig = new Loopback(server); Client client = rig.client()) {
             for (int i = 0; i < 3; i++) {
                 client.send(Loopback.request("r" + i, "read"));
                 InputStream in = client.socket.getInputStream();
