--- a/src/main/java/onyxpaddle/bgp/AnnouncePolicy.java
+++ b/src/main/java/onyxpaddle/bgp/AnnouncePolicy.java
@@ -10,40 +10,44 @@
 import onyxpaddle.bgp.ServiceHealth.Status;
 
 /**
- * What is said to which peer of one service address. It does no I/O and is handed the time.
+ * Decides which UPDATEs are sent to each peer for one service address. Does no I/O; the caller passes in the time.
  *
  * <ul>
- * <li><b>Up</b>: announced, once the hold-down is over. <b>Degraded</b>: announced with the degraded MED and communities, or withdrawn, as
- * configured; not withdrawn where the node is told to be the last announcer.
- * <li><b>Draining</b>: announced still, as one to use only where there is no other (GRACEFUL_SHUTDOWN, RFC 8326; local preference 0 or a
- * longer path), until the last request taken is answered; then withdrawn, at once.
- * <li><b>Down</b>: withdrawn, at once, drained or not.
+ * <li><b>Up</b>: announced once the hold-down has expired.
+ * <li><b>Degraded</b>: announced with the degraded MED and communities, or withdrawn, as configured; never withdrawn for
+ * degradation alone when the node is configured as the last announcer.
+ * <li><b>Draining</b>: still announced, but as a route of last resort (GRACEFUL_SHUTDOWN, RFC 8326; local preference 0 or a
+ * longer AS path), until the last accepted request is answered; then withdrawn at once.
+ * <li><b>Down</b>: withdrawn at once, whether drained or not.
  * </ul>
  *
- * <p>Invariants: nothing is announced while the address is down or emptied; a drain withdraws nothing before it is empty; and
- * in any minute a peer that stays gets at most 2 x {@code perMinute} + 2 updates: announcements and changes take from a
- * bucket, a withdrawal is free but needs an announcement before it. After each withdrawal the next announcement waits for a
- * hold-down that doubles while withdrawals follow each other (own flap damping), and halves with each quiet period of that length.
+ * <p>Invariants: nothing is announced while the address is down or fully drained; a drain withdraws nothing before all requests
+ * are answered; and a peer whose session stays up gets at most 2 x {@code updatesPerMinute} + 2 updates in any minute:
+ * announcements and changes take a token from a bucket, while a withdrawal takes none but requires a preceding announcement.
+ * After each withdrawal the next announcement waits for a hold-down, which doubles with each successive withdrawal (flap damping
+ * on the sending side) and halves for every quiet period of twice its length.
  */
 public final class AnnouncePolicy {
-    /** How an address stands with the node: what its pools allow, whether operators drain it, and whether it is empty. */
-    public record AddressStatus(Status status, boolean draining, boolean empty) {
+    /**
+     * Status of an address on this node: health of its pools, whether the node is draining, and whether no request is pending.
+     */
+    public record AddressStatus(Status health, boolean draining, boolean empty) {
     }
 
     /**
      * How an address is announced.
      *
-     * @param prefixes of either family
-     * @param withdrawDegraded whether one that is degraded is withdrawn, {@code last} whether never for that alone
-     * @param med in health, {@code degradedMed} otherwise; null for none
-     * @param communities on each route, {@code degradedCommunities} besides where degraded
-     * @param prepend how often the own number stands in the path while draining, towards other AS
-     * @param holdDown after a withdrawal at first, in nanoseconds, {@code mostHoldDown} at last
-     * @param perMinute announcements and changes a minute
+     * @param prefixes of either address family
+     * @param withdrawDegraded whether a degraded address is withdrawn; {@code lastAnnouncer} overrides this
+     * @param med MED while healthy, {@code degradedMed} while degraded; null for none
+     * @param communities set on every route; {@code degradedCommunities} are added while degraded
+     * @param prepend how many extra times the local AS is prepended to the path while draining, towards external peers
+     * @param holdDown initial hold-down after a withdrawal, in nanoseconds; grows up to {@code maxHoldDown}
+     * @param updatesPerMinute announcements and changes per minute
      */
-    public record Settings(List<Prefix> prefixes, boolean withdrawDegraded, boolean last, Long med, Long degradedMed,
-            List<Integer> communities, List<Integer> degradedCommunities, int prepend, long holdDown, long mostHoldDown,
-            int perMinute) {
+    public record Settings(List<Prefix> prefixes, boolean withdrawDegraded, boolean lastAnnouncer, Long med, Long degradedMed,
+            List<Integer> communities, List<Integer> degradedCommunities, int prepend, long holdDown, long maxHoldDown,
+            int updatesPerMinute) {
         public Settings {
             prefixes = List.copyOf(prefixes);
             communities = List.copyOf(communities);
@@ -52,168 +56,175 @@
     }
 
     /**
-     * A peer whose session stands.
+     * A peer with an established session.
      *
-     * @param as the own number, {@code internal}: the peer has the same
-     * @param nextHop4 for IPv4 routes, null where none are sent; {@code nextHop6} for IPv6
+     * @param as the local AS number; {@code internal}: the peer is in the same AS
+     * @param nextHop4 next hop of IPv4 routes, null if none are sent; {@code nextHop6} for IPv6
      */
     public record Peer(String name, long as, boolean internal, byte[] nextHop4, byte[] nextHop6) {
     }
 
-    /** An UPDATE for a peer. */
-    public record Order(String peer, Update update) {
+    public record PeerUpdate(String peer, Update update) {
     }
 
-    /** The manner in which an address is announced, from best to none. */
-    private enum Manner { USUAL, DEGRADED, DRAINING, WITHDRAWN }
+    /** How an address is currently announced, from most to least preferred. */
+    private enum Mode { USUAL, DEGRADED, DRAINING, WITHDRAWN }
 
     private static final long MINUTE = 60_000_000_000L;
-    /** Preference of a route that should be used only where there is no other, and of any other (RFC 8326; RFC 4271, 5.1.5). */
-    private static final long LAST_PREFERENCE = 0;
-    private static final long USUAL_PREFERENCE = 100;
+    /**
+     * LOCAL_PREF of a draining route, to be used only if there is no other, and of any other route (RFC 8326; RFC 4271, 5.1.5).
+     */
+    private static final long SHUTDOWN_LOCAL_PREF = 0;
+    private static final long DEFAULT_LOCAL_PREF = 100;
 
-    private final Settings terms;
+    private final Settings settings;
     private final Map<String, Peer> peers = new LinkedHashMap<>();
-    /** What each peer was told last; absent for nothing. */
-    private final Map<String, Manner> told = new HashMap<>();
-    private Manner manner = Manner.WITHDRAWN;
-    private AddressStatus standing = new AddressStatus(Status.DOWN, false, true);
+    /** The mode last advertised to each peer; no entry if nothing is advertised. */
+    private final Map<String, Mode> advertisedModes = new HashMap<>();
+    private Mode mode = Mode.WITHDRAWN;
+    private AddressStatus status = new AddressStatus(Status.DOWN, false, true);
     private double bucket;
-    private long bucketAt;
+    private long bucketRefilledAt;
     private long holdDown;
-    private long holdUntil = Long.MIN_VALUE;
+    private long holdDownUntil = Long.MIN_VALUE;
     private long withdrawnAt = Long.MIN_VALUE;
-    private long updates;
-    private final List<Order> orders = new ArrayList<>();
-
-    public AnnouncePolicy(Settings terms, long now) {
-        this.terms = terms;
-        bucket = terms.perMinute();
-        bucketAt = now;
-        holdDown = terms.holdDown();
+    private long updatesSent;
+    private final List<PeerUpdate> pending = new ArrayList<>();
+
+    public AnnouncePolicy(Settings settings, long now) {
+        this.settings = settings;
+        bucket = settings.updatesPerMinute();
+        bucketRefilledAt = now;
+        holdDown = settings.holdDown();
     }
 
-    /** Whether peers are told to send traffic here, in whatever manner. */
+    /** Whether the address is announced to peers, in any mode. */
     public boolean announced() {
-        return manner != Manner.WITHDRAWN;
+        return mode != Mode.WITHDRAWN;
     }
 
-    /** How it is announced, for people. */
+    /** The current mode in lower case, for reports and logs. */
     public String modeName() {
-        return manner.name().toLowerCase(java.util.Locale.ROOT);
+        return mode.name().toLowerCase(java.util.Locale.ROOT);
     }
 
-    /** What it announces where it does. */
+    /** The prefixes announced for this address. */
     public List<Prefix> prefixes() {
-        return terms.prefixes();
+        return settings.prefixes();
     }
 
-    /** UPDATEs sent so far, to all peers. */
-    public long updates() {
-        return updates;
+    /** Number of UPDATEs sent so far, to all peers. */
+    public long updatesSent() {
+        return updatesSent;
     }
 
-    /** What is left of the hold-down at this time, in nanoseconds; handed on over a restart, so that a crash loop is damped. */
+    /**
+     * The hold-down that the next withdrawal starts, in nanoseconds; passed on across a restart so that a crash loop is damped.
+     */
     public long holdDown() {
         return holdDown;
     }
 
-    /** Goes on from the damping of the process before. */
-    public void recall(long earlierHoldDown, long holdDownRemaining, long now) {
-        holdDown = Math.max(terms.holdDown(), Math.min(terms.mostHoldDown(), earlierHoldDown));
-        holdUntil = now + Math.max(0, Math.min(terms.mostHoldDown(), holdDownRemaining));
+    /** Restores the damping state of the previous process. */
+    public void restoreDamping(long earlierHoldDown, long holdDownRemaining, long now) {
+        holdDown = Math.max(settings.holdDown(), Math.min(settings.maxHoldDown(), earlierHoldDown));
+        holdDownUntil = now + Math.max(0, Math.min(settings.maxHoldDown(), holdDownRemaining));
     }
 
-    /** How much longer it is not announced, whatever comes. */
+    /** Remaining time during which the address is not announced, whatever its status. */
     public long holdDownRemaining(long now) {
-        return holdUntil <= now ? 0 : holdUntil - now;
+        return holdDownUntil <= now ? 0 : holdDownUntil - now;
     }
 
-    /** All of its state at a time, in hundredths of a second and of an update, for tests that explore it. */
-    String state(long now) {
+    /**
+     * The complete state at a given time, with times in 1/100 s and tokens in hundredths, for tests that explore the state
+     * space.
+     */
+    String stateForTest(long now) {
         long quiet = withdrawnAt == Long.MIN_VALUE ? -1 : (now - withdrawnAt) / 10_000_000L;
-        return manner + " " + told + " " + Math.round(100 * bucket) + " " + (now - bucketAt) / 10_000_000L + " "
+        return mode + " " + advertisedModes + " " + Math.round(100 * bucket) + " " + (now - bucketRefilledAt) / 10_000_000L + " "
             + holdDown / 10_000_000L + " " + holdDownRemaining(now) / 10_000_000L + " " + quiet;
     }
 
-    // ---- what happens ----
+    // ---- events ----
 
-    public List<Order> stands(AddressStatus now, long nowNanos) {
-        standing = now;
-        return settle(nowNanos);
+    public List<PeerUpdate> updateStatus(AddressStatus now, long nowNanos) {
+        status = now;
+        return reconcile(nowNanos);
     }
 
-    /** A session has come to stand: the peer is told what holds. */
-    public List<Order> up(Peer peer, long now) {
+    /** Called when a session is established; sends the peer the current announcement. */
+    public List<PeerUpdate> sessionUp(Peer peer, long now) {
         peers.put(peer.name(), peer);
-        told.remove(peer.name());
-        settle(now);
-        if (manner != Manner.WITHDRAWN && !told.containsKey(peer.name())) {
-            tell(peer);
+        advertisedModes.remove(peer.name());
+        reconcile(now);
+        if (mode != Mode.WITHDRAWN && !advertisedModes.containsKey(peer.name())) {
+            announceTo(peer);
         }
-        return List.copyOf(orders);
+        return List.copyOf(pending);
     }
 
-    /** A session has ended: the peer has forgotten what it was told. */
-    public void down(String peer) {
+    /** Called when a session has ended; the peer has dropped all routes of this speaker. */
+    public void sessionDown(String peer) {
         peers.remove(peer);
-        told.remove(peer);
+        advertisedModes.remove(peer);
     }
 
-    /** The peer asks for all again (RFC 2918). */
-    public List<Order> refresh(String peer) {
-        orders.clear();
-        if (peers.containsKey(peer) && told.containsKey(peer)) {
-            tell(peers.get(peer));
+    /** Handles a ROUTE-REFRESH request (RFC 2918). */
+    public List<PeerUpdate> refresh(String peer) {
+        pending.clear();
+        if (peers.containsKey(peer) && advertisedModes.containsKey(peer)) {
+            announceTo(peers.get(peer));
         }
-        return List.copyOf(orders);
+        return List.copyOf(pending);
     }
 
-    /** Looks again, as time may allow what it did not. */
-    public List<Order> timers(long now) {
-        return settle(now);
+    /** Applies changes that the hold-down or the rate limit had deferred. */
+    public List<PeerUpdate> timers(long now) {
+        return reconcile(now);
     }
 
-    // ---- what is said ----
+    // ---- decisions ----
 
-    private Manner wanted() {
-        if (standing.status() == Status.DOWN) {
-            return Manner.WITHDRAWN;
-        } else if (standing.draining()) {
-            // Nothing new is announced by a node that is being emptied.
-            return standing.empty() || manner == Manner.WITHDRAWN ? Manner.WITHDRAWN : Manner.DRAINING;
-        } else if (standing.status() == Status.DEGRADED) {
-            return terms.withdrawDegraded() && !terms.last() ? Manner.WITHDRAWN : Manner.DEGRADED;
+    private Mode targetMode() {
+        if (status.health() == Status.DOWN) {
+            return Mode.WITHDRAWN;
+        } else if (status.draining()) {
+            // A draining node starts no new announcement.
+            return status.empty() || mode == Mode.WITHDRAWN ? Mode.WITHDRAWN : Mode.DRAINING;
+        } else if (status.health() == Status.DEGRADED) {
+            return settings.withdrawDegraded() && !settings.lastAnnouncer() ? Mode.WITHDRAWN : Mode.DEGRADED;
         }
-        return Manner.USUAL;
+        return Mode.USUAL;
     }
 
-    private List<Order> settle(long now) {
-        orders.clear();
-        fill(now);
-        Manner wanted = wanted();
-        if (wanted == manner) {
+    private List<PeerUpdate> reconcile(long now) {
+        pending.clear();
+        refillBucket(now);
+        Mode targetMode = targetMode();
+        if (targetMode == mode) {
             return List.of();
         }
-        if (wanted == Manner.WITHDRAWN) {
+        if (targetMode == Mode.WITHDRAWN) {
             withdraw(now);
-        } else if (manner == Manner.WITHDRAWN) {
-            if (now >= holdUntil && take()) {
-                change(wanted);
+        } else if (mode == Mode.WITHDRAWN) {
+            if (now >= holdDownUntil && takeToken()) {
+                changeMode(targetMode);
             }
-        } else if (wanted == Manner.DRAINING || take()) {
-            // A drain that has begun is said whatever the bucket holds: it ends in a withdrawal, so it has one of its own.
-            change(wanted);
+        } else if (targetMode == Mode.DRAINING || takeToken()) {
+            // Entering the draining mode is not rate limited: a drain ends in a withdrawal, so each one is preceded by an
+            // announcement that took a token.
+            changeMode(targetMode);
         }
-        return List.copyOf(orders);
+        return List.copyOf(pending);
     }
 
-    private void fill(long now) {
-        bucket = Math.min(terms.perMinute(), bucket + (double) (now - bucketAt) * terms.perMinute() / MINUTE);
-        bucketAt = now;
+    private void refillBucket(long now) {
+        bucket = Math.min(settings.updatesPerMinute(), bucket + (double) (now - bucketRefilledAt) * settings.updatesPerMinute() / MINUTE);
+        bucketRefilledAt = now;
     }
 
-    private boolean take() {
+    private boolean takeToken() {
         if (bucket < 1) {
             return false;
         }
@@ -221,79 +232,80 @@
         return true;
     }
 
-    private void change(Manner to) {
-        manner = to;
-        peers.values().forEach(this::tell);
+    private void changeMode(Mode to) {
+        mode = to;
+        peers.values().forEach(this::announceTo);
     }
 
     private void withdraw(long now) {
-        calm(now);
-        manner = Manner.WITHDRAWN;
+        decayHoldDown(now);
+        mode = Mode.WITHDRAWN;
         for (Peer peer : peers.values()) {
-            if (told.remove(peer.name()) != null) {
-                for (boolean six : new boolean[] {false, true}) {
-                    List<Prefix> gone = of(six);
-                    if (!gone.isEmpty() && nextHop(peer, six) != null) {
-                        send(peer, new Update(gone, List.of(), null));
+            if (advertisedModes.remove(peer.name()) != null) {
+                for (boolean ipv6 : new boolean[] {false, true}) {
+                    List<Prefix> withdrawn = prefixesOf(ipv6);
+                    if (!withdrawn.isEmpty() && nextHop(peer, ipv6) != null) {
+                        send(peer, new Update(withdrawn, List.of(), null));
                     }
                 }
             }
         }
-        holdUntil = now + holdDown;
+        holdDownUntil = now + holdDown;
         withdrawnAt = now;
-        holdDown = Math.min(terms.mostHoldDown(), 2 * holdDown);
+        holdDown = Math.min(settings.maxHoldDown(), 2 * holdDown);
     }
 
-    /** Quiet since the last withdrawal lets the hold-down shrink again. */
-    private void calm(long now) {
+    /** Halves the hold-down for each quiet period since the last withdrawal. */
+    private void decayHoldDown(long now) {
         if (withdrawnAt != Long.MIN_VALUE) {
-            for (long quiet = now - withdrawnAt; quiet >= 2 * holdDown && holdDown > terms.holdDown(); quiet -= 2 * holdDown) {
-                holdDown = Math.max(terms.holdDown(), holdDown / 2);
+            for (long quiet = now - withdrawnAt; quiet >= 2 * holdDown && holdDown > settings.holdDown(); quiet -= 2 * holdDown) {
+                holdDown = Math.max(settings.holdDown(), holdDown / 2);
             }
         }
     }
 
-    private void tell(Peer peer) {
-        told.put(peer.name(), manner);
-        for (boolean six : new boolean[] {false, true}) {
-            List<Prefix> come = of(six);
-            if (!come.isEmpty() && nextHop(peer, six) != null) {
-                send(peer, new Update(List.of(), come, attributes(peer, six)));
+    private void announceTo(Peer peer) {
+        advertisedModes.put(peer.name(), mode);
+        for (boolean ipv6 : new boolean[] {false, true}) {
+            List<Prefix> announced = prefixesOf(ipv6);
+            if (!announced.isEmpty() && nextHop(peer, ipv6) != null) {
+                send(peer, new Update(List.of(), announced, attributes(peer, ipv6)));
             }
         }
     }
 
     private void send(Peer peer, Update update) {
-        updates++;
-        orders.add(new Order(peer.name(), update));
+        updatesSent++;
+        pending.add(new PeerUpdate(peer.name(), update));
     }
 
-    private List<Prefix> of(boolean six) {
-        return terms.prefixes().stream().filter(p -> p.six() == six).toList();
+    private List<Prefix> prefixesOf(boolean ipv6) {
+        return settings.prefixes().stream().filter(p -> p.ipv6() == ipv6).toList();
     }
 
-    private static byte[] nextHop(Peer peer, boolean six) {
-        return six ? peer.nextHop6() : peer.nextHop4();
+    private static byte[] nextHop(Peer peer, boolean ipv6) {
+        return ipv6 ? peer.nextHop6() : peer.nextHop4();
     }
 
-    private PathAttributes attributes(Peer peer, boolean six) {
-        boolean draining = manner == Manner.DRAINING;
-        boolean degraded = manner == Manner.DEGRADED;
+    private PathAttributes attributes(Peer peer, boolean ipv6) {
+        boolean draining = mode == Mode.DRAINING;
+        boolean degraded = mode == Mode.DEGRADED;
         List<Long> path = new ArrayList<>();
         if (!peer.internal()) {
             path.add(peer.as());
-            for (int i = 0; i < terms.prepend() && draining; i++) {
+            for (int i = 0; i < settings.prepend() && draining; i++) {
                 path.add(peer.as());
             }
         }
-        List<Integer> communities = new ArrayList<>(terms.communities());
+        List<Integer> communities = new ArrayList<>(settings.communities());
         if (degraded) {
-            communities.addAll(terms.degradedCommunities());
+            communities.addAll(settings.degradedCommunities());
         }
         if (draining) {
             communities.add(PathAttributes.GRACEFUL_SHUTDOWN);
         }
-        return new PathAttributes(path, Objects.requireNonNull(nextHop(peer, six)),
-            peer.internal() ? draining ? LAST_PREFERENCE : USUAL_PREFERENCE : null, degraded ? terms.degradedMed() : terms.med(), communities);
+        return new PathAttributes(path, Objects.requireNonNull(nextHop(peer, ipv6)),
+            peer.internal() ? draining ? SHUTDOWN_LOCAL_PREF : DEFAULT_LOCAL_PREF : null,
+            degraded ? settings.degradedMed() : settings.med(), communities);
     }
 }
--- a/src/main/java/onyxpaddle/bgp/ErrorCode.java
+++ b/src/main/java/onyxpaddle/bgp/ErrorCode.java
@@ -23,7 +23,7 @@
     NETWORK_FIELD(3, 10, "invalid network field"),
     AS_PATH(3, 11, "malformed AS_PATH"),
     HOLD_TIMER(4, 0, "hold timer expired"),
-    FSM_UNSPECIFIC(5, 0, "message out of place"),
+    FSM_UNSPECIFIC(5, 0, "unexpected message"),
     FSM_OPEN_SENT(5, 1, "unexpected message in OpenSent"),
     FSM_OPEN_CONFIRM(5, 2, "unexpected message in OpenConfirm"),
     FSM_ESTABLISHED(5, 3, "unexpected message in Established"),
@@ -40,19 +40,19 @@
 
     public final int code;
     public final int subcode;
-    private final String words;
+    private final String text;
 
-    ErrorCode(int code, int subcode, String words) {
+    ErrorCode(int code, int subcode, String text) {
         this.code = code;
         this.subcode = subcode;
-        this.words = words;
+        this.text = text;
     }
 
     /** A code and subcode in words, as far as they are known. */
-    public static String told(int code, int subcode) {
+    public static String describe(int code, int subcode) {
         for (ErrorCode error : values()) {
             if (error.code == code && error.subcode == subcode) {
-                return error.words + " (" + code + "/" + subcode + ")";
+                return error.text + " (" + code + "/" + subcode + ")";
             }
         }
         return "error " + code + "/" + subcode;
--- a/src/main/java/onyxpaddle/bgp/Fsm.java
+++ b/src/main/java/onyxpaddle/bgp/Fsm.java
@@ -8,105 +8,104 @@
 import onyxpaddle.bgp.BgpMessage.Open;
 
 /**
- * The state machine of one BGP connection, event by event as RFC 4271, 8.2.2 has it, with the send hold timer of RFC 9687.
- * It does no I/O: an event and the time go in, actions come out in order; {@link #due} says when the next timer runs out,
- * and {@link #timers} is called then. Times are nanoseconds of the node's clock.
+ * The finite state machine of one BGP connection, following RFC 4271, 8.2.2, with the send hold timer of RFC 9687. Does no I/O:
+ * it takes an event and the time and returns actions to perform in order; {@link #due} returns when the next timer expires, and
+ * {@link #timers} is called then. Times are in nanoseconds of the node's clock.
  *
- * <p>Optional attributes: AllowAutomaticStart, DampPeerOscillations and PassiveTcpEstablishment are supported; DelayOpen and
- * CollisionDetectEstablishedState are not (an established session stays; a further connection is closed).
+ * <p>Optional session attributes: AllowAutomaticStart, DampPeerOscillations and PassiveTcpEstablishment are supported; DelayOpen
+ * and CollisionDetectEstablishedState are not (an established session is kept and a further connection is closed).
  */
 public final class Fsm {
     /** RFC 4271, 8.2.2. */
     public enum State { IDLE, CONNECT, ACTIVE, OPEN_SENT, OPEN_CONFIRM, ESTABLISHED }
 
-    /** What happens; RFC 4271, 8.1, with the number that it has there. */
+    /** The events of RFC 4271, 8.1, with their numbers there. */
     public enum Event {
-        /** 1. */
+        /** Event 1. */
         MANUAL_START,
-        /** 2: an operator, or the end of the process; the NOTIFICATION to send may say reason. */
+        /** Event 2: by an operator or at process shutdown; the NOTIFICATION to send may give the reason. */
         MANUAL_STOP,
-        /** 8: the speaker itself ends the session, as for too many prefixes; the NOTIFICATION to send says reason. */
+        /** Event 8: the speaker ends the session itself, e.g. on too many prefixes; the NOTIFICATION to send gives the reason. */
         AUTOMATIC_STOP,
-        /** 9. */
+        /** Event 9. */
         CONNECT_RETRY_TIMER_EXPIRES,
-        /** 10. */
+        /** Event 10. */
         HOLD_TIMER_EXPIRES,
-        /** 11. */
+        /** Event 11. */
         KEEPALIVE_TIMER_EXPIRES,
-        /** 13. */
+        /** Event 13. */
         IDLE_HOLD_TIMER_EXPIRES,
-        /** 29 of RFC 9687. */
+        /** Event 29, added by RFC 9687. */
         SEND_HOLD_TIMER_EXPIRES,
-        /** 16: the connection that was dialled stands. */
+        /** Event 16: the outgoing connection is established. */
         TCP_CR_ACKED,
-        /** 17: the peer has connected. */
+        /** Event 17: an incoming connection was accepted. */
         TCP_CONNECTION_CONFIRMED,
-        /** 18: the connection failed, or was closed by the peer. */
+        /** Event 18: the connection failed or was closed by the peer. */
         TCP_CONNECTION_FAILS,
-        /** 19. */
+        /** Event 19. */
         BGP_OPEN,
-        /** 21, 22, 28: what came is at fault, as the NOTIFICATION to send says. */
+        /** Events 21, 22 and 28: a received message is invalid; the NOTIFICATION to send describes the error. */
         MESSAGE_ERROR,
-        /** 23: another connection to the same peer is kept in place of this one. */
+        /** Event 23: another connection to the same peer is kept instead of this one. */
         OPEN_COLLISION_DUMP,
-        /** 24. */
+        /** Event 24. */
         NOTIF_MSG_VER_ERR,
-        /** 25. */
+        /** Event 25. */
         NOTIF_MSG,
-        /** 26. */
+        /** Event 26. */
         KEEPALIVE_MSG,
-        /** 27; a ROUTE-REFRESH too. */
+        /** Event 27; also used for a ROUTE-REFRESH. */
         UPDATE_MSG
     }
 
-    /** What is to be done, in order. */
+    /** An action for the caller to perform. */
     public sealed interface Action {
     }
 
-    /** Dial the peer. */
+    /** Open a connection to the peer. */
     public record Dial() implements Action {
     }
 
-    /** Write a message. */
     public record Send(BgpMessage message) implements Action {
     }
 
-    /** Close the connection, or give up dialling, after what was written. */
+    /** Close the connection after pending writes, or cancel the connection attempt. */
     public record Drop() implements Action {
     }
 
-    /** The session stands: routes may be sent. */
-    public record Up(Open peer, int holdTime) implements Action {
+    /** The session is established: routes may be sent. */
+    public record SessionUp(Open peer, int holdTime) implements Action {
     }
 
-    /** The session has ended, or never came to stand; {@code reason} for people. */
-    public record Down(String reason) implements Action {
+    /** The session has ended or could not be established; {@code reason} is human-readable. */
+    public record SessionDown(String reason) implements Action {
     }
 
     /**
-     * What a peer is configured with. Times in nanoseconds but for {@code holdTime}.
+     * Configuration of a peer. Times are in nanoseconds, except for {@code holdTime}.
      *
-     * @param as the own number, {@code peerAs} the one that the peer must have
-     * @param identifier the own BGP identifier, four octets
-     * @param holdTime proposed, in seconds: 0, or at least 3
-     * @param connectRetry between attempts to dial, before jitter
-     * @param idleHold how long an oscillating peer is left alone at first; doubled with each failure up to {@code mostIdleHold}
-     * @param passive waits to be dialled
+     * @param as the local AS number; {@code peerAs}: the AS number that the peer must have
+     * @param identifier the local BGP identifier, four octets
+     * @param holdTime proposed hold time in seconds: 0, or at least 3
+     * @param connectRetry interval between connection attempts, before jitter
+     * @param idleHold initial idle time after a failure; doubles with each failure up to {@code maxIdleHold}
+     * @param passive whether to wait for the peer to connect
      */
     public record Settings(long as, long peerAs, long identifier, int holdTime, long connectRetry, long idleHold,
-            long mostIdleHold, boolean passive) {
+            long maxIdleHold, boolean passive) {
     }
 
     private static final long SECOND = 1_000_000_000L;
-    /** RFC 4271, 8.2.2: a large hold time until the peer's is known. */
+    /** RFC 4271, 8.2.2: a large hold time is used until the negotiated one is known. */
     private static final long LARGE_HOLD = 240 * SECOND;
     /** RFC 9687, 4: the greater of eight minutes and twice the hold time. */
-    private static final long LEAST_SEND_HOLD = 480 * SECOND;
+    private static final long MIN_SEND_HOLD = 480 * SECOND;
     private static final long NEVER = Long.MAX_VALUE;
-    /** A session that stood for so long is no oscillation: the next failure begins anew. */
-    private static final long SOUND_AFTER = 60 * SECOND;
+    /** A session that was established for this long does not count as oscillating: its failure resets the damping. */
+    private static final long STABLE_AFTER = 60 * SECOND;
 
-    private final Settings terms;
+    private final Settings settings;
     private final SplittableRandom random;
     private final List<Action> actions = new ArrayList<>();
     private State state = State.IDLE;
@@ -122,10 +121,10 @@
     private Open peer;
     private int connectRetryCounter;
     private int failures;
-    private boolean wanted;
+    private boolean enabled;
 
-    public Fsm(Settings terms, long seed) {
-        this.terms = terms;
+    public Fsm(Settings settings, long seed) {
+        this.settings = settings;
         this.random = new SplittableRandom(seed);
     }
 
@@ -133,7 +132,7 @@
         return state;
     }
 
-    /** The peer's OPEN; null before it has come. */
+    /** The peer's OPEN; null until it is received. */
     public Open peer() {
         return peer;
     }
@@ -143,44 +142,44 @@
         return connectRetryCounter;
     }
 
-    /** How often in a row the session has failed soon after its start: what damping goes by. It may be handed on. */
+    /** Number of consecutive session failures, which determines the idle hold time. May be passed on to a successor process. */
     public int failures() {
         return failures;
     }
 
-    /** Goes on from what was counted before, so that a process that crashes again and again is damped, too. */
-    public void recall(int earlierFailures) {
+    /** Restores the failure count of the previous process, so that a process in a crash loop is damped too. */
+    public void restoreFailures(int earlierFailures) {
         failures = Math.max(0, earlierFailures);
     }
 
-    /** When {@link #timers} is to be called next; {@link Long#MAX_VALUE} for not at all. */
+    /** When {@link #timers} must be called next; {@link Long#MAX_VALUE} if no timer is running. */
     public long due() {
         return Math.min(Math.min(Math.min(connectRetryAt, holdAt), Math.min(keepaliveAt, idleHoldAt)), sendHoldAt);
     }
 
-    /** Timers that have run out, one event each. */
+    /** Processes each expired timer as one event. */
     public List<Action> timers(long nowNanos) {
         actions.clear();
         now = nowNanos;
         if (now >= idleHoldAt) {
             idleHoldAt = NEVER;
-            step(Event.IDLE_HOLD_TIMER_EXPIRES, null);
+            dispatch(Event.IDLE_HOLD_TIMER_EXPIRES, null);
         }
         if (now >= connectRetryAt) {
             connectRetryAt = NEVER;
-            step(Event.CONNECT_RETRY_TIMER_EXPIRES, null);
+            dispatch(Event.CONNECT_RETRY_TIMER_EXPIRES, null);
         }
         if (now >= holdAt) {
             holdAt = NEVER;
-            step(Event.HOLD_TIMER_EXPIRES, null);
+            dispatch(Event.HOLD_TIMER_EXPIRES, null);
         }
         if (now >= sendHoldAt) {
             sendHoldAt = NEVER;
-            step(Event.SEND_HOLD_TIMER_EXPIRES, null);
+            dispatch(Event.SEND_HOLD_TIMER_EXPIRES, null);
         }
         if (now >= keepaliveAt) {
             keepaliveAt = NEVER;
-            step(Event.KEEPALIVE_TIMER_EXPIRES, null);
+            dispatch(Event.KEEPALIVE_TIMER_EXPIRES, null);
         }
         return List.copyOf(actions);
     }
@@ -189,29 +188,29 @@
         return handle(event, null, nowNanos);
     }
 
-    /** {@code message}: an OPEN that came, or the NOTIFICATION that is to be sent; null where the event has none. */
+    /** {@code message}: the received OPEN, or the NOTIFICATION to send; null if the event has none. */
     public List<Action> handle(Event event, BgpMessage message, long nowNanos) {
         actions.clear();
         now = nowNanos;
-        step(event, message);
+        dispatch(event, message);
         return List.copyOf(actions);
     }
 
-    /** The peer has taken something that was written, or there is nothing it has left unread (RFC 9687). */
-    public void taken(long nowNanos) {
+    /** Restarts the send hold timer after a write to the connection has completed (RFC 9687). */
+    public void writeCompleted(long nowNanos) {
         if (sendHoldAt != NEVER) {
             sendHoldAt = nowNanos + sendHold();
         }
     }
 
     private long sendHold() {
-        return Math.max(LEAST_SEND_HOLD, 2 * holdSpan);
+        return Math.max(MIN_SEND_HOLD, 2 * holdSpan);
     }
 
-    private void step(Event event, BgpMessage message) {
+    private void dispatch(Event event, BgpMessage message) {
         switch (state) {
             case IDLE -> idle(event);
-            case CONNECT, ACTIVE -> dialling(event);
+            case CONNECT, ACTIVE -> connecting(event);
             case OPEN_SENT -> openSent(event, message);
             case OPEN_CONFIRM -> openConfirm(event, message);
             case ESTABLISHED -> established(event, message);
@@ -223,34 +222,34 @@
     private void idle(Event event) {
         switch (event) {
             case MANUAL_START -> {
-                wanted = true;
+                enabled = true;
                 if (idleHoldAt == NEVER) {
                     start();
                 }
             }
             case IDLE_HOLD_TIMER_EXPIRES -> {
-                if (wanted) {
+                if (enabled) {
                     start();
                 }
             }
-            case MANUAL_STOP -> stopWanting();
+            case MANUAL_STOP -> disable();
             case TCP_CONNECTION_CONFIRMED, TCP_CR_ACKED ->
-                // RFC 4271, 8.2.1: in Idle the local system refuses all incoming connections.
+                // RFC 4271, 8.2.1: in Idle all incoming connections are refused.
                 actions.add(new Drop());
             default -> { }
         }
     }
 
-    private void stopWanting() {
-        wanted = false;
+    private void disable() {
+        enabled = false;
         idleHoldAt = NEVER;
         connectRetryCounter = 0;
     }
 
     private void start() {
         connectRetryCounter = 0;
-        connectRetryAt = now + jittered(terms.connectRetry());
-        if (terms.passive()) {
+        connectRetryAt = now + jittered(settings.connectRetry());
+        if (settings.passive()) {
             state = State.ACTIVE;
         } else {
             state = State.CONNECT;
@@ -258,24 +257,24 @@
         }
     }
 
-    /** RFC 4271, 10: at least three quarters of it, at most all. */
+    /** Applies jitter: a uniform factor between 0.75 and 1 (RFC 4271, 10). */
     private long jittered(long span) {
         return (long) (span * (0.75 + 0.25 * random.nextDouble()));
     }
 
     // ---- Connect, Active ----
 
-    private void dialling(Event event) {
+    private void connecting(Event event) {
         switch (event) {
             case MANUAL_START, IDLE_HOLD_TIMER_EXPIRES -> { }
             case MANUAL_STOP -> {
                 actions.add(new Drop());
-                stopWanting();
+                disable();
                 toIdle("stopped", false);
             }
             case CONNECT_RETRY_TIMER_EXPIRES -> {
-                connectRetryAt = now + jittered(terms.connectRetry());
-                if (terms.passive()) {
+                connectRetryAt = now + jittered(settings.connectRetry());
+                if (settings.passive()) {
                     state = State.ACTIVE;
                 } else {
                     actions.add(new Drop());
@@ -283,25 +282,25 @@
                     state = State.CONNECT;
                 }
             }
-            case TCP_CR_ACKED, TCP_CONNECTION_CONFIRMED -> open();
+            case TCP_CR_ACKED, TCP_CONNECTION_CONFIRMED -> sendOpen();
             case TCP_CONNECTION_FAILS -> {
                 if (state == State.CONNECT) {
                     actions.add(new Drop());
                     toIdle("cannot connect", false);
                 } else {
-                    fail("the connection broke", true);
+                    fail("connection lost", true);
                 }
             }
-            // SendNOTIFICATIONwithoutOPEN is false: an error before the own OPEN is told by closing alone.
+            // SendNOTIFICATIONwithoutOPEN is false: before the local OPEN is sent, an error only closes the connection.
             default -> fail("unexpected " + event + " in " + state, true);
         }
     }
 
-    private void open() {
+    private void sendOpen() {
         connectRetryAt = NEVER;
-        actions.add(new Send(new Open(BgpMessage.VERSION, terms.as(), terms.holdTime(), terms.identifier(), Capabilities.OWN)));
+        actions.add(new Send(new Open(BgpMessage.VERSION, settings.as(), settings.holdTime(), settings.identifier(), Capabilities.OWN)));
         holdAt = now + LARGE_HOLD;
-        holdSpan = terms.holdTime() * SECOND;
+        holdSpan = settings.holdTime() * SECOND;
         sendHoldAt = now + sendHold();
         state = State.OPEN_SENT;
     }
@@ -316,50 +315,51 @@
             case HOLD_TIMER_EXPIRES -> failWith(ErrorCode.HOLD_TIMER, true);
             case SEND_HOLD_TIMER_EXPIRES -> fail("send hold timer expired", true);
             case TCP_CONNECTION_FAILS -> {
-                // RFC 4271, 8.2.2: back to Active, with the retry timer.
+                // RFC 4271, 8.2.2: return to Active and restart the ConnectRetry timer.
                 actions.add(new Drop());
                 clearTimers();
                 peer = null;
-                connectRetryAt = now + jittered(terms.connectRetry());
+                connectRetryAt = now + jittered(settings.connectRetry());
                 state = State.ACTIVE;
             }
             case BGP_OPEN -> {
-                ErrorCode wrong = check((Open) message);
-                if (wrong != null) {
-                    sendNotification(new Notification(wrong, wrong == ErrorCode.VERSION ? new byte[] {0, BgpMessage.VERSION} : new byte[0]));
-                    fail("the peer's OPEN: " + ErrorCode.told(wrong.code, wrong.subcode), true);
+                ErrorCode error = check((Open) message);
+                if (error != null) {
+                    sendNotification(new Notification(error,
+                        error == ErrorCode.VERSION ? new byte[] {0, BgpMessage.VERSION} : new byte[0]));
+                    fail("OPEN rejected: " + ErrorCode.describe(error.code, error.subcode), true);
                 } else {
-                    agree((Open) message);
+                    acceptOpen((Open) message);
                 }
             }
             case MESSAGE_ERROR -> {
                 sendNotification(message);
                 fail(String.valueOf(message), true);
             }
-            case NOTIF_MSG_VER_ERR -> fail("the peer: unsupported version", false);
-            // The table answers this one with a NOTIFICATION of its own; the peer has closed by then, so none is sent.
-            case NOTIF_MSG -> fail("the peer: " + message, true);
+            case NOTIF_MSG_VER_ERR -> fail("NOTIFICATION received: unsupported version", false);
+            // The table of the RFC requires a NOTIFICATION here; the peer has already closed the connection, so none is sent.
+            case NOTIF_MSG -> fail("NOTIFICATION received: " + message, true);
             default -> failWith(ErrorCode.FSM_OPEN_SENT, true);
         }
     }
 
-    /** RFC 4271, 6.2; null where the OPEN is sound. */
+    /** Validates an OPEN (RFC 4271, 6.2); returns null if it is acceptable. */
     private ErrorCode check(Open open) {
         if (open.version() != BgpMessage.VERSION) {
             return ErrorCode.VERSION;
-        } else if (open.as() != terms.peerAs()) {
+        } else if (open.as() != settings.peerAs()) {
             return ErrorCode.BAD_AS;
-        } else if (open.identifier() == 0 || open.as() == terms.as() && open.identifier() == terms.identifier()) {
+        } else if (open.identifier() == 0 || open.as() == settings.as() && open.identifier() == settings.identifier()) {
             // RFC 6286: any non-zero identifier, unique within an AS.
             return ErrorCode.BAD_IDENTIFIER;
         }
         return open.holdTime() == 1 || open.holdTime() == 2 ? ErrorCode.HOLD_TIME : null;
     }
 
-    private void agree(Open open) {
+    private void acceptOpen(Open open) {
         peer = open;
-        holdSpan = Math.min(terms.holdTime(), open.holdTime()) * SECOND;
-        // RFC 4271, 10: a third of the hold time; jitter keeps many sessions from speaking at once.
+        holdSpan = Math.min(settings.holdTime(), open.holdTime()) * SECOND;
+        // RFC 4271, 10: a third of the hold time; jitter prevents many sessions from sending at the same time.
         keepaliveSpan = holdSpan / 3;
         actions.add(new Send(new BgpMessage.Keepalive()));
         keepaliveAt = holdSpan == 0 ? NEVER : now + jittered(keepaliveSpan);
@@ -378,9 +378,9 @@
             case HOLD_TIMER_EXPIRES -> failWith(ErrorCode.HOLD_TIMER, true);
             case SEND_HOLD_TIMER_EXPIRES -> fail("send hold timer expired", true);
             case KEEPALIVE_TIMER_EXPIRES -> keepalive();
-            case TCP_CONNECTION_FAILS -> fail("the connection broke", true);
-            case NOTIF_MSG -> fail("the peer: " + message, true);
-            case NOTIF_MSG_VER_ERR -> fail("the peer: unsupported version", false);
+            case TCP_CONNECTION_FAILS -> fail("connection lost", true);
+            case NOTIF_MSG -> fail("NOTIFICATION received: " + message, true);
+            case NOTIF_MSG_VER_ERR -> fail("NOTIFICATION received: unsupported version", false);
             case MESSAGE_ERROR -> {
                 sendNotification(message);
                 fail(String.valueOf(message), true);
@@ -389,7 +389,7 @@
                 restartHold();
                 state = State.ESTABLISHED;
                 establishedAt = now;
-                actions.add(new Up(peer, (int) (holdSpan / SECOND)));
+                actions.add(new SessionUp(peer, (int) (holdSpan / SECOND)));
             }
             default -> failWith(ErrorCode.FSM_OPEN_CONFIRM, true);
         }
@@ -413,12 +413,12 @@
             case AUTOMATIC_STOP, OPEN_COLLISION_DUMP -> cease(event, message);
             case HOLD_TIMER_EXPIRES -> failWith(ErrorCode.HOLD_TIMER, true);
             case SEND_HOLD_TIMER_EXPIRES ->
-                // RFC 9687, 3.3: a NOTIFICATION would wait behind what the peer does not read.
+                // RFC 9687, 3.3: a NOTIFICATION would be queued behind data that the peer does not read.
                 fail("send hold timer expired", true);
             case KEEPALIVE_TIMER_EXPIRES -> keepalive();
             case KEEPALIVE_MSG, UPDATE_MSG -> restartHold();
-            case TCP_CONNECTION_FAILS -> fail("the connection broke", true);
-            case NOTIF_MSG, NOTIF_MSG_VER_ERR -> fail("the peer: " + message, true);
+            case TCP_CONNECTION_FAILS -> fail("connection lost", true);
+            case NOTIF_MSG, NOTIF_MSG_VER_ERR -> fail("NOTIFICATION received: " + message, true);
             case MESSAGE_ERROR -> {
                 sendNotification(message);
                 fail(String.valueOf(message), true);
@@ -427,19 +427,19 @@
         }
     }
 
-    // ---- ends ----
+    // ---- termination ----
 
-    /** An operator, or the end of the process: a CEASE with its reason, and no start after it. */
+    /** Stops the session on an operator's request or at process shutdown: sends a CEASE with the reason and does not restart. */
     private void stop(BgpMessage message) {
         sendNotification(message != null ? message : new Notification(ErrorCode.SHUTDOWN));
         actions.add(new Drop());
-        stopWanting();
+        disable();
         toIdle("stopped", false);
     }
 
     private void cease(Event event, BgpMessage message) {
         boolean collision = event == Event.OPEN_COLLISION_DUMP;
-        Notification reason = message instanceof Notification told ? told
+        Notification reason = message instanceof Notification notification ? notification
             : new Notification(collision ? ErrorCode.COLLISION : ErrorCode.RESET);
         sendNotification(reason);
         fail(reason.toString(), !collision);
@@ -447,7 +447,7 @@
 
     private void failWith(ErrorCode error, boolean damped) {
         sendNotification(new Notification(error));
-        fail(ErrorCode.told(error.code, error.subcode), damped);
+        fail(ErrorCode.describe(error.code, error.subcode), damped);
     }
 
     private void sendNotification(BgpMessage message) {
@@ -470,21 +470,21 @@
     }
 
     /**
-     * Back to Idle, and to start again after the idle hold time, which grows while the session goes on failing
-     * (DampPeerOscillations): a peer that flaps costs an attempt now and then.
+     * Returns to Idle and schedules a restart after the idle hold time, which grows with consecutive failures
+     * (DampPeerOscillations), so that a flapping peer is retried only occasionally.
      */
     private void toIdle(String reason, boolean damped) {
-        if (state == State.ESTABLISHED && now - establishedAt >= SOUND_AFTER) {
+        if (state == State.ESTABLISHED && now - establishedAt >= STABLE_AFTER) {
             failures = 0;
         }
         clearTimers();
         state = State.IDLE;
         peer = null;
-        actions.add(new Down(reason));
-        if (wanted) {
-            long hold = terms.idleHold();
+        actions.add(new SessionDown(reason));
+        if (enabled) {
+            long hold = settings.idleHold();
             if (damped) {
-                hold = Math.min(terms.mostIdleHold(), hold << Math.min(failures, 20));
+                hold = Math.min(settings.maxIdleHold(), hold << Math.min(failures, 20));
                 failures++;
             }
             idleHoldAt = now + jittered(hold);
--- a/src/main/java/onyxpaddle/bgp/MessageReader.java
+++ b/src/main/java/onyxpaddle/bgp/MessageReader.java
@@ -3,26 +3,27 @@
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
 import onyxpaddle.bgp.BgpMessage.Capabilities;
-import onyxpaddle.bgp.BgpMessage.Heard;
+import onyxpaddle.bgp.BgpMessage.ReceivedUpdate;
 import onyxpaddle.bgp.BgpMessage.Keepalive;
 import onyxpaddle.bgp.BgpMessage.Notification;
 import onyxpaddle.bgp.BgpMessage.Open;
 import onyxpaddle.bgp.BgpMessage.RouteRefresh;
 
 /**
- * Messages from bytes, each length checked before it is believed (RFC 4271, 6.1 to 6.3; RFC 7606). What ends the session is
- * a {@link BgpException} with the NOTIFICATION that says so; what makes an UPDATE one that counts as withdrawn is told in it.
+ * Decodes messages, checking each length before it is used (RFC 4271, 6.1 to 6.3; RFC 7606). An error that ends the session is
+ * thrown as a {@link BgpException} with its NOTIFICATION; an error that makes an UPDATE count as a withdrawal is recorded in
+ * {@link ReceivedUpdate#fault}.
  */
 public final class MessageReader {
-    private static final int LEAST_OPEN = 29;
-    private static final int LEAST_UPDATE = 23;
-    private static final int LEAST_NOTIFICATION = 21;
-    private static final int REFRESH = 23;
+    private static final int MIN_OPEN_LENGTH = 29;
+    private static final int MIN_UPDATE_LENGTH = 23;
+    private static final int MIN_NOTIFICATION_LENGTH = 21;
+    private static final int ROUTE_REFRESH_LENGTH = 23;
 
     private MessageReader() {
     }
 
-    /** The length of the message that begins here, in bytes; -1 where its header has not come whole. */
+    /** Length in bytes of the message at the reader index; -1 if its header is not complete yet. */
     static int length(ByteBuf in) throws BgpException {
         if (in.readableBytes() < BgpMessage.HEADER) {
             return -1;
@@ -38,24 +39,24 @@
         if (type < MessageWriter.OPEN || type > MessageWriter.ROUTE_REFRESH) {
             throw new BgpException(ErrorCode.BAD_TYPE, (byte) type);
         }
-        boolean sound = length >= BgpMessage.HEADER && length <= BgpMessage.LARGEST && switch (type) {
-            case MessageWriter.OPEN -> length >= LEAST_OPEN;
-            case MessageWriter.UPDATE -> length >= LEAST_UPDATE;
-            case MessageWriter.NOTIFICATION -> length >= LEAST_NOTIFICATION;
+        boolean validLength = length >= BgpMessage.HEADER && length <= BgpMessage.MAX_LENGTH && switch (type) {
+            case MessageWriter.OPEN -> length >= MIN_OPEN_LENGTH;
+            case MessageWriter.UPDATE -> length >= MIN_UPDATE_LENGTH;
+            case MessageWriter.NOTIFICATION -> length >= MIN_NOTIFICATION_LENGTH;
             case MessageWriter.KEEPALIVE -> length == BgpMessage.HEADER;
             default -> true;
         };
-        if (!sound) {
+        if (!validLength) {
             throw new BgpException(ErrorCode.BAD_LENGTH, (byte) (length >> 8), (byte) length);
         }
-        if (type == MessageWriter.ROUTE_REFRESH && length != REFRESH) {
-            // RFC 7313, 5: with the message as data, as far as it is there.
+        if (type == MessageWriter.ROUTE_REFRESH && length != ROUTE_REFRESH_LENGTH) {
+            // RFC 7313, 5, asks for the message as data; none is sent.
             throw new BgpException(ErrorCode.ROUTE_REFRESH_LENGTH);
         }
         return length;
     }
 
-    /** The one message that the buffer holds, header and all, as {@link #length} has measured it. */
+    /** Decodes the single message in the buffer, including its header, whose length {@link #length} has validated. */
     static BgpMessage read(ByteBuf message, boolean fourOctet) throws BgpException {
         message.skipBytes(18);
         int type = message.readUnsignedByte();
@@ -85,7 +86,7 @@
             throw new BgpException(ErrorCode.OPEN_UNSPECIFIC);
         }
         boolean[] offered = new boolean[4];
-        long four = -1;
+        long as4 = -1;
         while (in.isReadable()) {
             if (in.readableBytes() < 2) {
                 throw new BgpException(ErrorCode.OPEN_UNSPECIFIC);
@@ -99,21 +100,21 @@
                 throw new BgpException(ErrorCode.OPTIONAL_PARAMETER);
             }
             long found = capabilities(in.readSlice(length), offered);
-            four = found >= 0 ? found : four;
+            as4 = found >= 0 ? found : as4;
         }
-        if (four == 0 || as == 0) {
-            // RFC 7607: zero is nobody's number.
+        if (as4 == 0 || as == 0) {
+            // RFC 7607: AS 0 is reserved.
             throw new BgpException(ErrorCode.BAD_AS);
         }
-        // RFC 4760, 8: who says nothing of families means IPv4.
-        boolean any = offered[0] || offered[1];
-        return new Open(version, four >= 0 ? four : as, holdTime, identifier,
-            new Capabilities(four >= 0, offered[0] || !any, offered[1], offered[2]));
+        // RFC 4760, 8: a peer that offers no address family capability supports IPv4 only.
+        boolean anyFamily = offered[0] || offered[1];
+        return new Open(version, as4 >= 0 ? as4 : as, holdTime, identifier,
+            new Capabilities(as4 >= 0, offered[0] || !anyFamily, offered[1], offered[2]));
     }
 
-    /** The four-octet number, -1 for none; {@code offered}: IPv4, IPv6, refresh. */
+    /** Returns the four-octet AS number, -1 if absent; sets {@code offered}: IPv4, IPv6, route refresh. */
     private static long capabilities(ByteBuf in, boolean[] offered) throws BgpException {
-        long four = -1;
+        long as4 = -1;
         while (in.isReadable()) {
             if (in.readableBytes() < 2) {
                 throw new BgpException(ErrorCode.OPEN_UNSPECIFIC);
@@ -125,7 +126,7 @@
             }
             ByteBuf value = in.readSlice(length);
             if (code == 65 && length == 4) {
-                four = value.readUnsignedInt();
+                as4 = value.readUnsignedInt();
             } else if (code == 1 && length == 4 && value.getUnsignedByte(3) == 1) {
                 int afi = value.getUnsignedShort(0);
                 offered[0] |= afi == 1;
@@ -134,13 +135,13 @@
                 offered[2] = true;
             }
         }
-        return four;
+        return as4;
     }
 
     // ---- UPDATE ----
 
-    /** What one UPDATE says, as it is counted. */
-    private static final class Counting {
+    /** Counts and first error of an UPDATE while it is decoded. */
+    private static final class UpdateState {
         private int announced;
         private int withdrawn;
         private String fault;
@@ -151,73 +152,73 @@
         }
     }
 
-    private static Heard update(ByteBuf in, boolean fourOctet) throws BgpException {
-        Counting counting = new Counting();
+    private static ReceivedUpdate update(ByteBuf in, boolean fourOctet) throws BgpException {
+        UpdateState updateState = new UpdateState();
         int withdrawnLength = in.readUnsignedShort();
         if (withdrawnLength > in.readableBytes() - 2) {
             throw new BgpException(ErrorCode.ATTRIBUTE_LIST);
         }
-        counting.withdrawn += prefixes(in.readSlice(withdrawnLength), 32);
+        updateState.withdrawn += prefixes(in.readSlice(withdrawnLength), 32);
         int attributesLength = in.readUnsignedShort();
         if (attributesLength > in.readableBytes()) {
             throw new BgpException(ErrorCode.ATTRIBUTE_LIST);
         }
         ByteBuf attributes = in.readSlice(attributesLength);
         int nlri = prefixes(in, 32);
-        counting.announced += nlri;
+        updateState.announced += nlri;
         while (attributes.isReadable()) {
-            if (!attribute(attributes, counting, fourOctet)) {
+            if (!attribute(attributes, updateState, fourOctet)) {
                 break;
             }
         }
-        if (counting.announced > 0 && counting.fault == null) {
-            mandatory(counting, nlri > 0);
+        if (updateState.announced > 0 && updateState.fault == null) {
+            checkMandatory(updateState, nlri > 0);
         }
-        return counting.fault == null ? new Heard(counting.announced, counting.withdrawn, null)
-            : new Heard(0, counting.announced + counting.withdrawn, counting.fault);
+        return updateState.fault == null ? new ReceivedUpdate(updateState.announced, updateState.withdrawn, null)
+            : new ReceivedUpdate(0, updateState.announced + updateState.withdrawn, updateState.fault);
     }
 
-    /** RFC 7606, 3d: what is missing makes it count as withdrawn. */
-    private static void mandatory(Counting counting, boolean four) {
-        long wanted = 1L << MessageWriter.ORIGIN | 1L << MessageWriter.AS_PATH | (four ? 1L << MessageWriter.NEXT_HOP : 0);
-        if ((counting.seen & wanted) != wanted) {
-            counting.fault("a well-known attribute is missing");
+    /** RFC 7606, 3d: a missing mandatory attribute makes the UPDATE count as a withdrawal. */
+    private static void checkMandatory(UpdateState updateState, boolean ipv4) {
+        long required = 1L << MessageWriter.ORIGIN | 1L << MessageWriter.AS_PATH | (ipv4 ? 1L << MessageWriter.NEXT_HOP : 0);
+        if ((updateState.seen & required) != required) {
+            updateState.fault("missing well-known attribute");
         }
     }
 
-    /** Reads one attribute; false where the rest cannot be told apart (RFC 7606, 4). */
-    private static boolean attribute(ByteBuf in, Counting counting, boolean fourOctet) throws BgpException {
+    /** Reads one attribute; returns false if the remaining ones cannot be parsed (RFC 7606, 4). */
+    private static boolean attribute(ByteBuf in, UpdateState updateState, boolean fourOctet) throws BgpException {
         if (in.readableBytes() < 3) {
-            counting.fault("an attribute that breaks off");
+            updateState.fault("truncated attribute");
             return false;
         }
         int flags = in.readUnsignedByte();
         int type = in.readUnsignedByte();
         boolean extended = (flags & MessageWriter.EXTENDED) != 0;
         if (extended && in.readableBytes() < 2) {
-            counting.fault("an attribute that breaks off");
+            updateState.fault("truncated attribute");
             return false;
         }
         int length = extended ? in.readUnsignedShort() : in.readUnsignedByte();
         if (length > in.readableBytes()) {
-            counting.fault("an attribute longer than what is left");
+            updateState.fault("attribute longer than the rest of the attributes");
             return false;
         }
         ByteBuf value = in.readSlice(length);
-        boolean twice = type < 64 && (counting.seen & 1L << type) != 0;
-        if (twice && (type == MessageWriter.MP_REACH || type == MessageWriter.MP_UNREACH)) {
+        boolean duplicate = type < 64 && (updateState.seen & 1L << type) != 0;
+        if (duplicate && (type == MessageWriter.MP_REACH || type == MessageWriter.MP_UNREACH)) {
             // RFC 7606, 3g: the session is reset.
             throw new BgpException(ErrorCode.ATTRIBUTE_LIST);
-        } else if (twice) {
-            // Any other counts the first time only.
+        } else if (duplicate) {
+            // Further occurrences of any other attribute are ignored.
             return true;
         }
-        counting.seen |= type < 64 ? 1L << type : 0;
-        check(type, flags, value, counting, fourOctet);
+        updateState.seen |= type < 64 ? 1L << type : 0;
+        check(type, flags, value, updateState, fourOctet);
         return true;
     }
 
-    private static void check(int type, int flags, ByteBuf value, Counting counting, boolean fourOctet) throws BgpException {
+    private static void check(int type, int flags, ByteBuf value, UpdateState updateState, boolean fourOctet) throws BgpException {
         int length = value.readableBytes();
         int expected = switch (type) {
             case MessageWriter.ORIGIN, MessageWriter.AS_PATH, MessageWriter.NEXT_HOP, MessageWriter.LOCAL_PREF,
@@ -228,19 +229,19 @@
             default -> -1;
         };
         if (expected >= 0 && (flags & (MessageWriter.OPTIONAL | MessageWriter.TRANSITIVE)) != expected) {
-            counting.fault("flags of attribute " + type);
+            updateState.fault("invalid flags of attribute " + type);
         }
         switch (type) {
-            case MessageWriter.ORIGIN -> counting.fault(length == 1 && value.getUnsignedByte(0) <= 2 ? null : "ORIGIN");
+            case MessageWriter.ORIGIN -> updateState.fault(length == 1 && value.getUnsignedByte(0) <= 2 ? null : "ORIGIN");
             case MessageWriter.NEXT_HOP, MessageWriter.MED, MessageWriter.LOCAL_PREF ->
-                counting.fault(length == 4 ? null : "length of attribute " + type);
-            case MessageWriter.COMMUNITIES -> counting.fault(length > 0 && length % 4 == 0 ? null : "COMMUNITIES");
-            case MessageWriter.AS_PATH -> counting.fault(path(value, fourOctet ? 4 : 2) ? null : "AS_PATH");
-            case MessageWriter.MP_REACH -> reach(value, counting);
-            case MessageWriter.MP_UNREACH -> unreach(value, counting);
+                updateState.fault(length == 4 ? null : "invalid length of attribute " + type);
+            case MessageWriter.COMMUNITIES -> updateState.fault(length > 0 && length % 4 == 0 ? null : "COMMUNITIES");
+            case MessageWriter.AS_PATH -> updateState.fault(path(value, fourOctet ? 4 : 2) ? null : "AS_PATH");
+            case MessageWriter.MP_REACH -> mpReach(value, updateState);
+            case MessageWriter.MP_UNREACH -> mpUnreach(value, updateState);
             default -> {
                 if (expected < 0 && (flags & MessageWriter.OPTIONAL) == 0) {
-                    // RFC 4271, 6.3, and not changed by 7606: nobody knows what it would mean to pass over it.
+                    // RFC 4271, 6.3, unchanged by RFC 7606: an unknown well-known attribute cannot be ignored safely.
                     throw new BgpException(ErrorCode.WELL_KNOWN_UNKNOWN);
                 }
             }
@@ -262,8 +263,8 @@
         return true;
     }
 
-    /** RFC 4760, 3. */
-    private static void reach(ByteBuf in, Counting counting) throws BgpException {
+    /** MP_REACH_NLRI (RFC 4760, 3). */
+    private static void mpReach(ByteBuf in, UpdateState updateState) throws BgpException {
         if (in.readableBytes() < 5) {
             throw new BgpException(ErrorCode.OPTIONAL_ATTRIBUTE);
         }
@@ -274,25 +275,25 @@
             throw new BgpException(ErrorCode.OPTIONAL_ATTRIBUTE);
         }
         in.skipBytes(nextHop + 1);
-        counting.announced += prefixes(in, afi == 1 ? 32 : 128);
-        counting.fault(afi == 2 && nextHop != 16 && nextHop != 32 ? "next hop of MP_REACH_NLRI" : null);
+        updateState.announced += prefixes(in, afi == 1 ? 32 : 128);
+        updateState.fault(afi == 2 && nextHop != 16 && nextHop != 32 ? "invalid next hop length in MP_REACH_NLRI" : null);
     }
 
-    private static void unreach(ByteBuf in, Counting counting) throws BgpException {
+    private static void mpUnreach(ByteBuf in, UpdateState updateState) throws BgpException {
         if (in.readableBytes() < 3) {
             throw new BgpException(ErrorCode.OPTIONAL_ATTRIBUTE);
         }
         int afi = in.readUnsignedShort();
         in.skipBytes(1);
-        counting.withdrawn += prefixes(in, afi == 1 ? 32 : 128);
+        updateState.withdrawn += prefixes(in, afi == 1 ? 32 : 128);
     }
 
-    /** How many prefixes these bytes are; where they are none, what follows can't be told apart (RFC 7606, 5.3). */
-    private static int prefixes(ByteBuf in, int mostBits) throws BgpException {
+    /** Counts the prefixes; if one is malformed, the rest cannot be parsed and the session ends (RFC 7606, 5.3). */
+    private static int prefixes(ByteBuf in, int maxBits) throws BgpException {
         int count = 0;
         while (in.isReadable()) {
             int bits = in.readUnsignedByte();
-            if (bits > mostBits || (bits + 7) / 8 > in.readableBytes()) {
+            if (bits > maxBits || (bits + 7) / 8 > in.readableBytes()) {
                 throw new BgpException(ErrorCode.NETWORK_FIELD);
             }
             in.skipBytes((bits + 7) / 8);
--- a/src/main/java/onyxpaddle/bgp/MessageWriter.java
+++ b/src/main/java/onyxpaddle/bgp/MessageWriter.java
@@ -10,7 +10,7 @@
 import onyxpaddle.bgp.BgpMessage.RouteRefresh;
 import onyxpaddle.bgp.BgpMessage.Update;
 
-/** Messages as bytes (RFC 4271, 4; 4760, 3; 5492, 4; 6793, 4). */
+/** Encodes messages (RFC 4271, 4; RFC 4760, 3; RFC 5492, 4; RFC 6793, 4). */
 public final class MessageWriter {
     static final int OPEN = 1;
     static final int UPDATE = 2;
@@ -39,11 +39,11 @@
     }
 
     /**
-     * One message. {@code fourOctet}: the peer has offered four-octet AS numbers. Throws where it would be longer than
-     * {@link BgpMessage#LARGEST}, which what this speaker announces never is.
+     * Encodes one message. {@code fourOctet}: the peer supports four-octet AS numbers. Throws if the message would exceed {@link
+     * BgpMessage#MAX_LENGTH}, which announcements of this speaker never do.
      */
     public static ByteBuf write(BgpMessage message, boolean fourOctet) {
-        ByteBuf out = Unpooled.buffer(64, BgpMessage.LARGEST);
+        ByteBuf out = Unpooled.buffer(64, BgpMessage.MAX_LENGTH);
         for (int i = 0; i < 16; i++) {
             out.writeByte(0xff);
         }
@@ -62,7 +62,7 @@
         } else if (message instanceof RouteRefresh refresh) {
             out.writeByte(ROUTE_REFRESH).writeShort(refresh.afi()).writeByte(0).writeByte(refresh.safi());
         } else {
-            throw new IllegalArgumentException("not a message that is sent: " + message);
+            throw new IllegalArgumentException("cannot encode message: " + message);
         }
         return out.setShort(16, out.writerIndex());
     }
@@ -92,55 +92,55 @@
     }
 
     private static void update(ByteBuf out, Update update, boolean fourOctet) {
-        List<Prefix> gone = update.withdrawn();
-        List<Prefix> come = update.announced();
-        boolean six = gone.stream().anyMatch(Prefix::six) || come.stream().anyMatch(Prefix::six);
+        List<Prefix> withdrawnPrefixes = update.withdrawn();
+        List<Prefix> announcedPrefixes = update.announced();
+        boolean ipv6 = withdrawnPrefixes.stream().anyMatch(Prefix::ipv6) || announcedPrefixes.stream().anyMatch(Prefix::ipv6);
         ByteBuf withdrawn = Unpooled.buffer();
-        if (!six) {
-            prefixes(withdrawn, gone);
+        if (!ipv6) {
+            prefixes(withdrawn, withdrawnPrefixes);
         }
         out.writeShort(withdrawn.readableBytes()).writeBytes(withdrawn);
         ByteBuf attributes = Unpooled.buffer();
-        if (six && !gone.isEmpty()) {
+        if (ipv6 && !withdrawnPrefixes.isEmpty()) {
             ByteBuf value = Unpooled.buffer().writeShort(2).writeByte(1);
-            prefixes(value, gone);
+            prefixes(value, withdrawnPrefixes);
             attribute(attributes, OPTIONAL, MP_UNREACH, value);
         }
-        if (!come.isEmpty()) {
-            announce(attributes, update.attributes(), six, come, fourOctet);
+        if (!announcedPrefixes.isEmpty()) {
+            announce(attributes, update.attributes(), ipv6, announcedPrefixes, fourOctet);
         }
         out.writeShort(attributes.readableBytes()).writeBytes(attributes);
-        if (!six) {
-            prefixes(out, come);
+        if (!ipv6) {
+            prefixes(out, announcedPrefixes);
         }
     }
 
-    private static void announce(ByteBuf out, PathAttributes a, boolean six, List<Prefix> prefixes, boolean fourOctet) {
-        if (six) {
-            // RFC 7606, 5.1: first, so that a receiver finds the prefixes whatever else is wrong.
-            ByteBuf reach = Unpooled.buffer().writeShort(2).writeByte(1).writeByte(16).writeBytes(a.nextHop()).writeByte(0);
+    private static void announce(ByteBuf out, PathAttributes values, boolean ipv6, List<Prefix> prefixes, boolean fourOctet) {
+        if (ipv6) {
+            // RFC 7606, 5.1: placed first, so that a receiver finds the prefixes even if a later attribute is malformed.
+            ByteBuf reach = Unpooled.buffer().writeShort(2).writeByte(1).writeByte(16).writeBytes(values.nextHop()).writeByte(0);
             prefixes(reach, prefixes);
             attribute(out, OPTIONAL, MP_REACH, reach);
         }
         attribute(out, TRANSITIVE, ORIGIN, Unpooled.buffer().writeByte(0));
-        attribute(out, TRANSITIVE, AS_PATH, path(a.asPath(), fourOctet));
-        if (!six) {
-            attribute(out, TRANSITIVE, NEXT_HOP, Unpooled.wrappedBuffer(a.nextHop()));
+        attribute(out, TRANSITIVE, AS_PATH, path(values.asPath(), fourOctet));
+        if (!ipv6) {
+            attribute(out, TRANSITIVE, NEXT_HOP, Unpooled.wrappedBuffer(values.nextHop()));
         }
-        if (a.med() != null) {
-            attribute(out, OPTIONAL, MED, Unpooled.buffer().writeInt(a.med().intValue()));
+        if (values.med() != null) {
+            attribute(out, OPTIONAL, MED, Unpooled.buffer().writeInt(values.med().intValue()));
         }
-        if (a.localPreference() != null) {
-            attribute(out, TRANSITIVE, LOCAL_PREF, Unpooled.buffer().writeInt(a.localPreference().intValue()));
+        if (values.localPreference() != null) {
+            attribute(out, TRANSITIVE, LOCAL_PREF, Unpooled.buffer().writeInt(values.localPreference().intValue()));
         }
-        if (!a.communities().isEmpty()) {
+        if (!values.communities().isEmpty()) {
             ByteBuf value = Unpooled.buffer();
-            a.communities().forEach(value::writeInt);
+            values.communities().forEach(value::writeInt);
             attribute(out, OPTIONAL | TRANSITIVE, COMMUNITIES, value);
         }
-        if (!fourOctet && a.asPath().stream().anyMatch(as -> as > 0xffff)) {
-            // RFC 6793, 4.2.2: what two octets cannot say goes along beside.
-            attribute(out, OPTIONAL | TRANSITIVE, AS4_PATH, path(a.asPath(), true));
+        if (!fourOctet && values.asPath().stream().anyMatch(as -> as > 0xffff)) {
+            // RFC 6793, 4.2.2: AS4_PATH carries the numbers that do not fit into two octets.
+            attribute(out, OPTIONAL | TRANSITIVE, AS4_PATH, path(values.asPath(), true));
         }
     }
 
@@ -171,7 +171,7 @@
 
     private static void prefixes(ByteBuf out, List<Prefix> prefixes) {
         for (Prefix prefix : prefixes) {
-            out.writeByte(prefix.bits()).writeBytes(prefix.written());
+            out.writeByte(prefix.bits()).writeBytes(prefix.significantOctets());
         }
     }
 }
--- a/src/main/java/onyxpaddle/bgp/PathAttributes.java
+++ b/src/main/java/onyxpaddle/bgp/PathAttributes.java
@@ -4,16 +4,16 @@
 import java.util.List;
 
 /**
- * What a route of this speaker says of itself (RFC 4271, 5; RFC 1997).
+ * Path attributes of a route announced by this speaker (RFC 4271, 5; RFC 1997).
  *
- * @param asPath the numbers, nearest first; empty towards peers of the own AS
- * @param nextHop 4 octets, or 16 for IPv6
- * @param localPreference for peers of the own AS; null elsewhere
+ * @param asPath AS numbers, nearest first; empty towards internal peers
+ * @param nextHop 4 octets for IPv4, 16 for IPv6
+ * @param localPreference for internal peers; null for external ones
  * @param med MULTI_EXIT_DISC; null for none
- * @param communities each four octets
+ * @param communities four octets each
  */
 public record PathAttributes(List<Long> asPath, byte[] nextHop, Long localPreference, Long med, List<Integer> communities) {
-    /** Routes that bear it should be used only where there is no other (RFC 8326). */
+    /** Well-known community: use the route only if there is no other (RFC 8326). */
     public static final int GRACEFUL_SHUTDOWN = 0xFFFF0000;
 
     public PathAttributes {
--- a/src/main/java/onyxpaddle/bgp/Peering.java
+++ b/src/main/java/onyxpaddle/bgp/Peering.java
@@ -9,206 +9,208 @@
 import onyxpaddle.bgp.Fsm.State;
 
 /**
- * One peer: its session, and for a moment a second connection to it, of which one is given up (RFC 4271, 6.8). Does no I/O;
- * each action names the connection it is for.
+ * The session with one peer, and during a connection collision a second connection, one of which is closed (RFC 4271, 6.8). Does
+ * no I/O; each action names the connection it applies to.
  */
 public final class Peering {
-    /** A connection to the peer: the one that the session is on, or one that came beside it. */
-    public enum Link { MAIN, OTHER }
+    /** A connection to the peer: the one that carries the session, or a second one accepted in parallel. */
+    public enum Connection { PRIMARY, SECONDARY }
 
-    /** What is to be done on a connection. */
-    public record Order(Link link, Action action) {
+    /** An action to perform on a connection. */
+    public record ConnectionAction(Connection connection, Action action) {
     }
 
-    private final Fsm.Settings terms;
-    private long seeds;
-    private Fsm main;
-    private boolean mainDialled;
-    private Fsm other;
-    private final List<Order> orders = new ArrayList<>();
+    private final Fsm.Settings settings;
+    private long nextSeed;
+    private Fsm primary;
+    private boolean primaryDialled;
+    private Fsm secondary;
+    private final List<ConnectionAction> pending = new ArrayList<>();
     private boolean swapped;
 
-    public Peering(Fsm.Settings terms, long seed) {
-        this.terms = terms;
-        this.seeds = seed;
-        main = new Fsm(terms, seeds++);
+    public Peering(Fsm.Settings settings, long seed) {
+        this.settings = settings;
+        this.nextSeed = seed;
+        primary = new Fsm(settings, nextSeed++);
     }
 
     public State state() {
-        return main.state();
+        return primary.state();
     }
 
-    /** The peer's OPEN where the session stands or is about to; null before. */
+    /** The peer's OPEN once it has been accepted; null before. */
     public Open peer() {
-        return main.peer();
+        return primary.peer();
     }
 
-    /** How often in a row the session has failed; see {@link Fsm#failures}. */
+    /** Number of consecutive session failures; see {@link Fsm#failures}. */
     public int failures() {
-        return main.failures();
+        return primary.failures();
     }
 
-    public void recall(int failures) {
-        main.recall(failures);
+    public void restoreFailures(int failures) {
+        primary.restoreFailures(failures);
     }
 
     public long due() {
-        return Math.min(main.due(), other == null ? Long.MAX_VALUE : other.due());
+        return Math.min(primary.due(), secondary == null ? Long.MAX_VALUE : secondary.due());
     }
 
     /**
-     * Whether the last call made the other connection the main one: what carries {@link Link#OTHER} is to be taken for
-     * {@link Link#MAIN} from now on, after its orders are carried out as they are named.
+     * Whether the last call made the secondary connection the primary one. Its actions still use the roles from before the swap;
+     * after they are performed, {@link Connection#SECONDARY} becomes {@link Connection#PRIMARY}.
      */
     public boolean swapped() {
         return swapped;
     }
 
-    // ---- what happens ----
+    // ---- events ----
 
-    public List<Order> start(long now) {
-        return begin().take(Link.MAIN, main.handle(Event.MANUAL_START, now), now).orders;
+    public List<ConnectionAction> start(long now) {
+        return clear().collect(Connection.PRIMARY, primary.handle(Event.MANUAL_START, now), now).pending;
     }
 
-    /** Ends it with this reason; it stays ended. */
-    public List<Order> stop(Notification reason, long now) {
-        begin();
-        dropOther(reason, now);
-        return take(Link.MAIN, main.handle(Event.MANUAL_STOP, reason, now), now).orders;
+    /** Ends the session with this NOTIFICATION; it is not restarted. */
+    public List<ConnectionAction> stop(Notification reason, long now) {
+        clear();
+        dropSecondary(reason, now);
+        return collect(Connection.PRIMARY, primary.handle(Event.MANUAL_STOP, reason, now), now).pending;
     }
 
-    /** The speaker ends the session for a fault of the peer's, and tries again later. */
-    public List<Order> reset(Notification reason, long now) {
-        return begin().take(Link.MAIN, main.handle(Event.AUTOMATIC_STOP, reason, now), now).orders;
+    /** Ends the session because of the peer's behaviour; it is retried later. */
+    public List<ConnectionAction> reset(Notification reason, long now) {
+        return clear().collect(Connection.PRIMARY, primary.handle(Event.AUTOMATIC_STOP, reason, now), now).pending;
     }
 
-    public List<Order> dialled(long now) {
-        begin();
-        mainDialled = true;
-        return take(Link.MAIN, main.handle(Event.TCP_CR_ACKED, now), now).orders;
+    public List<ConnectionAction> connected(long now) {
+        clear();
+        primaryDialled = true;
+        return collect(Connection.PRIMARY, primary.handle(Event.TCP_CR_ACKED, now), now).pending;
     }
 
-    /** Which connection one that the peer has dialled becomes; null where it is closed at once. */
-    public Link accepts() {
-        return switch (main.state()) {
+    /** The role that an incoming connection gets; null if it must be closed at once. */
+    public Connection accepts() {
+        return switch (primary.state()) {
             case IDLE, ESTABLISHED -> null;
-            case CONNECT, ACTIVE -> Link.MAIN;
-            case OPEN_SENT, OPEN_CONFIRM -> other == null ? Link.OTHER : null;
+            case CONNECT, ACTIVE -> Connection.PRIMARY;
+            case OPEN_SENT, OPEN_CONFIRM -> secondary == null ? Connection.SECONDARY : null;
         };
     }
 
-    /** The peer's connection is taken, as {@link #accepts} has said. */
-    public List<Order> accepted(Link link, long now) {
-        begin();
-        if (link == Link.MAIN) {
-            mainDialled = false;
-            return take(link, main.handle(Event.TCP_CONNECTION_CONFIRMED, now), now).orders;
+    /** Handles an incoming connection, in the role returned by {@link #accepts}. */
+    public List<ConnectionAction> accepted(Connection connection, long now) {
+        clear();
+        if (connection == Connection.PRIMARY) {
+            primaryDialled = false;
+            return collect(connection, primary.handle(Event.TCP_CONNECTION_CONFIRMED, now), now).pending;
         }
-        other = new Fsm(new Fsm.Settings(terms.as(), terms.peerAs(), terms.identifier(), terms.holdTime(), terms.connectRetry(),
-            terms.idleHold(), terms.mostIdleHold(), true), seeds++);
-        other.recall(main.failures());
-        other.handle(Event.MANUAL_START, now);
-        return take(link, other.handle(Event.TCP_CONNECTION_CONFIRMED, now), now).orders;
+        secondary = new Fsm(new Fsm.Settings(settings.as(), settings.peerAs(), settings.identifier(), settings.holdTime(),
+            settings.connectRetry(), settings.idleHold(), settings.maxIdleHold(), true), nextSeed++);
+        secondary.restoreFailures(primary.failures());
+        secondary.handle(Event.MANUAL_START, now);
+        return collect(connection, secondary.handle(Event.TCP_CONNECTION_CONFIRMED, now), now).pending;
     }
 
-    /** Anything else that happens on a connection. */
-    public List<Order> happened(Link link, Event event, BgpMessage message, long now) {
-        begin();
-        Fsm fsm = link == Link.MAIN ? main : other;
+    /** Handles any other event on a connection. */
+    public List<ConnectionAction> handle(Connection connection, Event event, BgpMessage message, long now) {
+        clear();
+        Fsm fsm = connection == Connection.PRIMARY ? primary : secondary;
         if (fsm == null) {
-            return orders;
+            return pending;
         }
-        Fsm beside = link == Link.MAIN ? other : main;
-        if (event == Event.BGP_OPEN && beside != null && (beside.state() == State.OPEN_CONFIRM || beside.state() == State.ESTABLISHED)
+        Fsm otherFsm = connection == Connection.PRIMARY ? secondary : primary;
+        if (event == Event.BGP_OPEN && otherFsm != null
+                && (otherFsm.state() == State.OPEN_CONFIRM || otherFsm.state() == State.ESTABLISHED)
                 && fsm.state() == State.OPEN_SENT) {
-            boolean keepMain = collide(link, (Open) message, now);
-            if (keepMain != (link == Link.MAIN)) {
-                // The connection on which this came is given up.
-                return orders;
+            boolean keepPrimary = resolveCollision(connection, (Open) message, now);
+            if (keepPrimary != (connection == Connection.PRIMARY)) {
+                // The connection that received this OPEN is closed.
+                return pending;
             }
         }
-        return take(link, (swapped ? main : fsm).handle(event, message, now), now).orders;
+        return collect(connection, (swapped ? primary : fsm).handle(event, message, now), now).pending;
     }
 
-    public void taken(Link link, long now) {
-        Fsm fsm = link == Link.MAIN ? main : other;
+    public void writeCompleted(Connection connection, long now) {
+        Fsm fsm = connection == Connection.PRIMARY ? primary : secondary;
         if (fsm != null) {
-            fsm.taken(now);
+            fsm.writeCompleted(now);
         }
     }
 
-    public List<Order> timers(long now) {
-        begin();
-        if (other != null) {
-            take(Link.OTHER, other.timers(now), now);
+    public List<ConnectionAction> timers(long now) {
+        clear();
+        if (secondary != null) {
+            collect(Connection.SECONDARY, secondary.timers(now), now);
         }
-        return take(Link.MAIN, main.timers(now), now).orders;
+        return collect(Connection.PRIMARY, primary.timers(now), now).pending;
     }
 
     // ---- collision ----
 
     /**
-     * RFC 4271, 6.8: of two connections, the one that the side with the higher identifier has dialled stays. An established
-     * session always does. Returns whether the main one stays; else the other is the main one from here on.
+     * Collision resolution (RFC 4271, 6.8): the connection initiated by the side with the higher identifier is kept; an
+     * established session always is. Returns whether the primary connection is kept; otherwise the secondary one becomes
+     * primary.
      */
-    private boolean collide(Link came, Open open, long now) {
-        boolean established = (came == Link.MAIN ? other : main).state() == State.ESTABLISHED;
-        boolean ownHigher = terms.identifier() > open.identifier()
-            || terms.identifier() == open.identifier() && terms.as() > open.as();
-        // The other one is always the peer's; where the main one is so too, the newer goes.
-        boolean keepMain = established ? came == Link.OTHER : !mainDialled || ownHigher;
-        if (keepMain) {
-            dropOther(new Notification(ErrorCode.COLLISION), now);
+    private boolean resolveCollision(Connection receivedOn, Open open, long now) {
+        boolean established = (receivedOn == Connection.PRIMARY ? secondary : primary).state() == State.ESTABLISHED;
+        boolean ownHigher = settings.identifier() > open.identifier()
+            || settings.identifier() == open.identifier() && settings.as() > open.as();
+        // The secondary connection was always initiated by the peer; if the primary was too, the newer one is closed.
+        boolean keepPrimary = established ? receivedOn == Connection.SECONDARY : !primaryDialled || ownHigher;
+        if (keepPrimary) {
+            dropSecondary(new Notification(ErrorCode.COLLISION), now);
         } else {
             promote(now);
         }
-        return keepMain;
+        return keepPrimary;
     }
 
-    private void dropOther(Notification reason, long now) {
-        if (other != null) {
-            for (Action action : other.handle(Event.MANUAL_STOP, reason, now)) {
-                if (!(action instanceof Fsm.Down)) {
-                    orders.add(new Order(Link.OTHER, action));
+    private void dropSecondary(Notification reason, long now) {
+        if (secondary != null) {
+            for (Action action : secondary.handle(Event.MANUAL_STOP, reason, now)) {
+                if (!(action instanceof Fsm.SessionDown)) {
+                    pending.add(new ConnectionAction(Connection.SECONDARY, action));
                 }
             }
-            other = null;
+            secondary = null;
         }
     }
 
-    // ---- orders ----
+    // ---- actions ----
 
-    private Peering begin() {
-        orders.clear();
+    private Peering clear() {
+        pending.clear();
         swapped = false;
         return this;
     }
 
-    private Peering take(Link link, List<Action> actions, long now) {
+    private Peering collect(Connection connection, List<Action> actions, long now) {
         for (Action action : actions) {
-            if (link == Link.OTHER && !swapped && action instanceof Fsm.Down) {
-                // A second connection that fails says nothing of the session.
-                other = null;
-            } else if (link == Link.OTHER && !swapped && action instanceof Fsm.Up) {
-                // It came to stand first: the one that was tried beside it goes.
-                orders.add(new Order(link, action));
+            if (connection == Connection.SECONDARY && !swapped && action instanceof Fsm.SessionDown) {
+                // The failure of a second connection does not affect the session.
+                secondary = null;
+            } else if (connection == Connection.SECONDARY && !swapped && action instanceof Fsm.SessionUp) {
+                // The second connection was established first: the primary one is closed.
+                pending.add(new ConnectionAction(connection, action));
                 promote(now);
             } else {
-                orders.add(new Order(link, action));
+                pending.add(new ConnectionAction(connection, action));
             }
         }
         return this;
     }
 
     private void promote(long now) {
-        for (Action action : main.handle(Event.OPEN_COLLISION_DUMP, now)) {
-            if (!(action instanceof Fsm.Down)) {
-                orders.add(new Order(Link.MAIN, action));
+        for (Action action : primary.handle(Event.OPEN_COLLISION_DUMP, now)) {
+            if (!(action instanceof Fsm.SessionDown)) {
+                pending.add(new ConnectionAction(Connection.PRIMARY, action));
             }
         }
-        main = other;
-        mainDialled = false;
-        other = null;
+        primary = secondary;
+        primaryDialled = false;
+        secondary = null;
         swapped = true;
     }
 }
--- a/src/main/java/onyxpaddle/bgp/Prefix.java
+++ b/src/main/java/onyxpaddle/bgp/Prefix.java
@@ -3,19 +3,19 @@
 import java.util.Arrays;
 
 /**
- * An address prefix of IPv4 or IPv6, as a BGP message writes it: the length in bits, and as many octets as that needs
- * (RFC 4271, 4.3). Bits behind the length are zero.
+ * An IPv4 or IPv6 address prefix as encoded in a BGP message: the length in bits and as many octets as it needs (RFC 4271, 4.3).
+ * Bits beyond the length are zero.
  */
 public final class Prefix implements Comparable<Prefix> {
-    private final boolean six;
+    private final boolean ipv6;
     private final int bits;
     private final byte[] octets;
 
-    /** {@code address}: 4 or 16 octets; bits behind {@code bits} are taken for zero. Throws where the length is out of range. */
+    /** {@code address}: 4 or 16 octets; bits beyond {@code bits} are cleared. Throws if a length is out of range. */
     public Prefix(byte[] address, int bits) {
-        six = address.length == 16;
-        if (address.length != 4 && !six || bits < 0 || bits > 8 * address.length) {
-            throw new IllegalArgumentException("no prefix: " + address.length + " octets, " + bits + " bits");
+        ipv6 = address.length == 16;
+        if (address.length != 4 && !ipv6 || bits < 0 || bits > 8 * address.length) {
+            throw new IllegalArgumentException("invalid prefix: " + address.length + " octets, " + bits + " bits");
         }
         this.bits = bits;
         octets = Arrays.copyOf(Arrays.copyOf(address, (bits + 7) / 8), address.length);
@@ -24,22 +24,22 @@
         }
     }
 
-    public boolean six() {
-        return six;
+    public boolean ipv6() {
+        return ipv6;
     }
 
     public int bits() {
         return bits;
     }
 
-    /** As many octets as the length needs. */
-    public byte[] written() {
+    /** The leading octets that hold the prefix, as many as its length needs. */
+    public byte[] significantOctets() {
         return Arrays.copyOf(octets, (bits + 7) / 8);
     }
 
     @Override
     public boolean equals(Object other) {
-        return other instanceof Prefix p && six == p.six && bits == p.bits && Arrays.equals(octets, p.octets);
+        return other instanceof Prefix p && ipv6 == p.ipv6 && bits == p.bits && Arrays.equals(octets, p.octets);
     }
 
     @Override
@@ -49,7 +49,7 @@
 
     @Override
     public int compareTo(Prefix other) {
-        int family = Boolean.compare(six, other.six);
+        int family = Boolean.compare(ipv6, other.ipv6);
         int address = family != 0 ? family : Arrays.compareUnsigned(octets, other.octets);
         return address != 0 ? address : Integer.compare(bits, other.bits);
     }
@@ -57,9 +57,9 @@
     @Override
     public String toString() {
         StringBuilder text = new StringBuilder();
-        for (int i = 0; i < octets.length; i += six ? 2 : 1) {
-            text.append(i == 0 ? "" : six ? ":" : ".");
-            text.append(six ? Integer.toHexString((octets[i] & 0xff) << 8 | octets[i + 1] & 0xff) : octets[i] & 0xff);
+        for (int i = 0; i < octets.length; i += ipv6 ? 2 : 1) {
+            text.append(i == 0 ? "" : ipv6 ? ":" : ".");
+            text.append(ipv6 ? Integer.toHexString((octets[i] & 0xff) << 8 | octets[i + 1] & 0xff) : octets[i] & 0xff);
         }
         return text.append('/').append(bits).toString();
     }
--- a/src/main/java/onyxpaddle/bgp/ServiceHealth.java
+++ b/src/main/java/onyxpaddle/bgp/ServiceHealth.java
@@ -4,141 +4,142 @@
 import java.util.List;
 
 /**
- * Whether a pool can really serve, by what the node itself sees of it; it sends no probes, does no I/O and is handed the
- * time. An idle pool is not a sick one: without enough requests in the window only its servers speak for it.
+ * Determines the health of a pool from what this node observes; it sends no probes, does no I/O and is passed the time. With too
+ * few requests in the window, only the state of the pool's servers counts, so an idle pool is healthy.
  *
- * <p>Guards against announcing a service that refuses or fails what comes, and against changing one's word with every
- * burst: it goes down at once where no request could be served, and otherwise only by what a window shows, with a margin
- * between going and coming back and a least time in each state. It does harm where a service fails less than
- * {@code degradedBelow} of its requests for good reasons of its own: that share is to be set lower there.
+ * <p>Prevents announcing a service that refuses or fails its requests, and flapping with each burst: the pool goes down at once
+ * when no request could be served, and otherwise changes only on the share of requests served over a window, with hysteresis and
+ * a minimum time in each state. If a service legitimately serves less than {@code degradedBelow} of its requests, that threshold
+ * must be lowered for it.
  */
 public final class ServiceHealth {
     /** From best to worst. */
     public enum Status { UP, DEGRADED, DOWN }
 
-    /** What is known of a pool, and since when it is so. */
+    /** Health of a pool, the reason, and the time of the last change. */
     public record Verdict(Status status, String reason, long since) {
     }
 
     /**
-     * What the node sees at one moment. Counts are of the process and only grow.
+     * What the node observes at one point in time. Counters are cumulative over the life of the process.
      *
      * @param ready whether requests can be served at all
-     * @param listed servers on the list, {@code sound} those that are not avoided
-     * @param lag how late the node's own loop is, in nanoseconds
+     * @param listed number of servers on the list; {@code available}: those that are not avoided
+     * @param loopLag delay of the node's event loop, in nanoseconds
      */
-    public record Observation(boolean ready, int listed, int sound, long served, long refused, long failed, long lag) {
+    public record Observation(boolean ready, int listed, int available, long served, long refused, long failed, long loopLag) {
     }
 
     /**
-     * When it changes. Spans in nanoseconds, shares from 0 to 1.
+     * Thresholds. Durations are in nanoseconds, shares from 0 to 1.
      *
-     * @param degradedBelow the share served under which a pool is degraded, {@code downBelow} under which it is down
-     * @param margin by how much the share must be over a bound before the pool is better again
-     * @param minRequests requests in the window for the share to say anything
-     * @param window over which the share is taken
-     * @param dwell the least time in a state before a better one
-     * @param maxLoopLag of the loop, over which the node is degraded
+     * @param degradedBelow share of requests served below which the pool is degraded; {@code downBelow}: below which it is down
+     * @param margin how far the share must exceed a threshold before the status improves
+     * @param minRequests number of requests in the window below which the share is not evaluated
+     * @param window duration over which the share is computed
+     * @param dwell minimum time in a status before it improves
+     * @param maxLoopLag event loop lag above which the node is degraded
      */
-    public record Settings(double degradedBelow, double downBelow, double margin, int minRequests, long window, long dwell, long maxLoopLag) {
+    public record Settings(double degradedBelow, double downBelow, double margin, int minRequests, long window, long dwell,
+            long maxLoopLag) {
         private static final long SECOND = 1_000_000_000L;
         public static final Settings USUAL = new Settings(0.9, 0.3, 0.05, 20, 10 * SECOND, 5 * SECOND, SECOND / 2);
     }
 
-    /** What several pools make of an address that needs all of them, or any. */
+    /** Combines the verdicts of several pools for an address that needs any one of them, or all. */
     public static Verdict combine(List<Verdict> pools, boolean any) {
         Comparator<Verdict> order = Comparator.comparing(Verdict::status);
         return pools.stream().min(any ? order : order.reversed()).orElse(new Verdict(Status.DOWN, "no pool", 0));
     }
 
-    private static final int PARTS = 10;
+    private static final int SLOTS = 10;
 
-    private final Settings terms;
-    /** Counts at the start of each of the last parts of the window, the oldest at {@code next}. */
-    private final long[] served = new long[PARTS];
-    private final long[] other = new long[PARTS];
+    private final Settings settings;
+    /** Counters at the start of each of the last slots of the window, the oldest at {@code next}. */
+    private final long[] served = new long[SLOTS];
+    private final long[] unserved = new long[SLOTS];
     private int next;
     private int filled;
-    private long partSince;
+    private long slotStart;
     private Verdict verdict;
 
-    /** It begins down: nothing is announced before a service is seen to be there. */
-    public ServiceHealth(Settings terms, long now) {
-        this.terms = terms;
-        partSince = now;
-        verdict = new Verdict(Status.DOWN, "not seen yet", now - terms.dwell());
+    /** Starts as down: nothing is announced before the service has been observed. */
+    public ServiceHealth(Settings settings, long now) {
+        this.settings = settings;
+        slotStart = now;
+        verdict = new Verdict(Status.DOWN, "not observed yet", now - settings.dwell());
     }
 
     public Verdict verdict() {
         return verdict;
     }
 
-    /** Takes what is seen now, some times a second, and says what that makes of the pool. */
-    public Verdict observe(Observation seen, long now) {
-        double share = share(seen, now);
+    /** Evaluates an observation; called several times per second. */
+    public Verdict observe(Observation observation, long now) {
+        double share = share(observation, now);
         String reason;
-        Status by;
-        if (!seen.ready()) {
-            by = Status.DOWN;
+        Status observed;
+        if (!observation.ready()) {
+            observed = Status.DOWN;
             reason = "not ready to serve";
-        } else if (seen.sound() == 0) {
-            by = Status.DOWN;
-            reason = seen.listed() == 0 ? "no server is listed" : "none of " + seen.listed() + " servers is sound";
+        } else if (observation.available() == 0) {
+            observed = Status.DOWN;
+            reason = observation.listed() == 0 ? "no servers listed" : "none of " + observation.listed() + " servers is available";
         } else {
-            by = byShare(share);
-            reason = "serves " + Math.round(100 * share) + " in 100 requests";
-            if (by == Status.UP && seen.lag() > terms.maxLoopLag()) {
-                by = Status.DEGRADED;
-                reason = "the node itself is " + seen.lag() / 1_000_000L + " ms behind";
+            observed = byShare(share);
+            reason = "serves " + Math.round(100 * share) + "% of requests";
+            if (observed == Status.UP && observation.loopLag() > settings.maxLoopLag()) {
+                observed = Status.DEGRADED;
+                reason = "the event loop of this node is " + observation.loopLag() / 1_000_000L + " ms late";
             } else if (Double.isNaN(share)) {
-                reason = seen.sound() + " of " + seen.listed() + " servers are sound";
+                reason = observation.available() + " of " + observation.listed() + " servers are available";
             }
         }
-        boolean better = by.compareTo(verdict.status()) < 0;
-        if (by != verdict.status() && (!better || now - verdict.since() >= terms.dwell())) {
-            verdict = new Verdict(by, reason, now);
-        } else if (by == verdict.status() && by != Status.UP) {
-            verdict = new Verdict(by, reason, verdict.since());
+        boolean improved = observed.compareTo(verdict.status()) < 0;
+        if (observed != verdict.status() && (!improved || now - verdict.since() >= settings.dwell())) {
+            verdict = new Verdict(observed, reason, now);
+        } else if (observed == verdict.status() && observed != Status.UP) {
+            verdict = new Verdict(observed, reason, verdict.since());
         }
         return verdict;
     }
 
-    /** What the share says, with the margin on the way back. */
+    /** Status by share, with the margin added to thresholds on the way back up. */
     private Status byShare(double share) {
         if (Double.isNaN(share)) {
             return Status.UP;
         }
-        double down = terms.downBelow() + (verdict.status() == Status.DOWN ? terms.margin() : 0);
-        double degraded = terms.degradedBelow() + (verdict.status() == Status.UP ? 0 : terms.margin());
+        double down = settings.downBelow() + (verdict.status() == Status.DOWN ? settings.margin() : 0);
+        double degraded = settings.degradedBelow() + (verdict.status() == Status.UP ? 0 : settings.margin());
         return share < down ? Status.DOWN : share < Math.min(1, degraded) ? Status.DEGRADED : Status.UP;
     }
 
-    /** The share served over the window; NaN where too little was asked to say. */
-    private double share(Observation seen, long now) {
-        long span = terms.window() / PARTS;
+    /** Share of requests served over the window; NaN if there were too few requests. */
+    private double share(Observation observation, long now) {
+        long span = settings.window() / SLOTS;
         if (filled == 0) {
-            remember(seen);
-            partSince = now;
+            recordSlot(observation);
+            slotStart = now;
         }
-        // One that was not asked for longer than a window knows nothing of it.
-        int steps = (int) Math.min(PARTS, (now - partSince) / span);
+        // After a gap longer than the window, all older counts are discarded.
+        int steps = (int) Math.min(SLOTS, (now - slotStart) / span);
         for (int i = 0; i < steps; i++) {
-            remember(seen);
-            partSince += span;
+            recordSlot(observation);
+            slotStart += span;
         }
-        if (now - partSince >= span) {
-            partSince = now;
+        if (now - slotStart >= span) {
+            slotStart = now;
         }
-        int oldest = filled < PARTS ? 0 : next;
-        long good = seen.served() - served[oldest];
-        long all = good + seen.refused() + seen.failed() - other[oldest];
-        return all < terms.minRequests() ? Double.NaN : (double) good / all;
+        int oldest = filled < SLOTS ? 0 : next;
+        long servedInWindow = observation.served() - served[oldest];
+        long total = servedInWindow + observation.refused() + observation.failed() - unserved[oldest];
+        return total < settings.minRequests() ? Double.NaN : (double) servedInWindow / total;
     }
 
-    private void remember(Observation seen) {
-        served[next] = seen.served();
-        other[next] = seen.refused() + seen.failed();
-        next = (next + 1) % PARTS;
-        filled = Math.min(PARTS, filled + 1);
+    private void recordSlot(Observation observation) {
+        served[next] = observation.served();
+        unserved[next] = observation.refused() + observation.failed();
+        next = (next + 1) % SLOTS;
+        filled = Math.min(SLOTS, filled + 1);
     }
 }
--- a/src/main/java/onyxpaddle/bgp/Speaker.java
+++ b/src/main/java/onyxpaddle/bgp/Speaker.java
@@ -19,7 +19,7 @@
 import java.util.Map;
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
-import onyxpaddle.bgp.AnnouncePolicy.Order;
+import onyxpaddle.bgp.AnnouncePolicy.PeerUpdate;
 import onyxpaddle.bgp.AnnouncePolicy.AddressStatus;
 import onyxpaddle.bgp.BgpMessage.Notification;
 import onyxpaddle.bgp.BgpMessage.Update;
@@ -28,49 +28,49 @@
 import onyxpaddle.node.Log;
 
 /**
- * The speaker: its peers' connections, their timers, and the updates that the policies of its addresses order. Everything
- * happens on the event loop; what is decided is decided in {@link Peering} and {@link AnnouncePolicy}.
+ * A BGP speaker: manages the connections and timers of its peers and sends the updates that the policies of its addresses
+ * produce. Runs entirely on the event loop; the protocol logic is in {@link Peering} and {@link AnnouncePolicy}.
  */
 public final class Speaker {
-    /** Timers are looked at so often: they are seconds long. */
+    /** Interval at which timers are checked; the timers themselves run for seconds. */
     private static final long TICK_MS = 50;
     private static final int READ_SIZE = 2048;
 
     /**
-     * A peer as it is configured.
+     * Configuration of a peer.
      *
-     * @param at where it listens, and from which address it may dial
-     * @param local the own address towards it; null for whatever the system takes
-     * @param nextHop4 for IPv4 routes to it, {@code nextHop6} for IPv6; null where none are sent
-     * @param mostPrefixes that it may announce before its session is ended
+     * @param address where the peer listens; connections from this host are accepted as the peer's
+     * @param local local address to connect from; null lets the system choose
+     * @param nextHop4 next hop of IPv4 routes, {@code nextHop6} of IPv6 routes; null if none are sent
+     * @param maxPrefixes number of prefixes above which the session is ended
      */
-    public record PeerSettings(String name, InetSocketAddress at, InetAddress local, Fsm.Settings fsm, byte[] nextHop4, byte[] nextHop6,
-            int mostPrefixes) {
+    public record PeerSettings(String name, InetSocketAddress address, InetAddress local, Fsm.Settings fsm, byte[] nextHop4,
+            byte[] nextHop6, int maxPrefixes) {
     }
 
-    /** How a peer stands, for on-call staff. */
+    /** Status of a peer, for the operator's report. */
     public record PeerStatus(String name, State state, int failures, long receivedPrefixes, long updatesSent) {
     }
 
     final EventLoop loop;
     final Clock clock;
     final ByteBufAllocator allocator;
-    private final Map<String, PeerLink> peers = new LinkedHashMap<>();
+    private final Map<String, PeerConnections> peers = new LinkedHashMap<>();
     private final Map<String, AnnouncePolicy> addresses = new LinkedHashMap<>();
     private Channel listener;
-    private Future<?> ticking;
-    private long seeds;
+    private Future<?> tickTask;
+    private long nextSeed;
     private boolean stopping;
 
     public Speaker(EventLoop loop, ByteBufAllocator allocator, Clock clock, long seed) {
         this.loop = loop;
         this.allocator = allocator;
         this.clock = clock;
-        this.seeds = seed;
-        ticking = loop.scheduleWithFixedDelay(this::tick, TICK_MS, TICK_MS, TimeUnit.MILLISECONDS);
+        this.nextSeed = seed;
+        tickTask = loop.scheduleWithFixedDelay(this::tick, TICK_MS, TICK_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** Takes connections of configured peers; others are closed at once. */
+    /** Accepts connections from configured peers; others are closed at once. */
     public ChannelFuture listen(InetSocketAddress address) {
         if (listener != null) {
             listener.close();
@@ -96,48 +96,48 @@
         return (InetSocketAddress) listener.localAddress();
     }
 
-    /** A further peer, whose session is begun; {@code failures}: what it was damped by in the process before, 0 for nothing. */
-    public void add(PeerSettings terms, int failures) {
-        PeerLink link = new PeerLink(this, terms, seeds++, failures);
-        peers.put(terms.name(), link);
-        link.start();
+    /** Adds a peer and starts its session; {@code failures}: the failure count of the previous process, 0 for none. */
+    public void add(PeerSettings settings, int failures) {
+        PeerConnections connections = new PeerConnections(this, settings, nextSeed++, failures);
+        peers.put(settings.name(), connections);
+        connections.start();
     }
 
-    /** A peer goes from the configuration. */
+    /** Removes a peer and ends its session. */
     public void remove(String name) {
-        PeerLink link = peers.remove(name);
-        if (link != null) {
-            addresses.values().forEach(policy -> policy.down(name));
-            link.stop(new Notification(ErrorCode.DECONFIGURED));
+        PeerConnections connections = peers.remove(name);
+        if (connections != null) {
+            addresses.values().forEach(policy -> policy.sessionDown(name));
+            connections.stop(new Notification(ErrorCode.DECONFIGURED));
         }
     }
 
-    /** A further address, which stands as it is told from now on. */
+    /** Adds an address with its policy and announces it to established peers if the policy allows. */
     public void add(String address, AnnouncePolicy policy) {
         addresses.put(address, policy);
-        for (PeerLink link : peers.values()) {
-            if (link.announcing() != null) {
-                carryOut(policy.up(link.announcing(), clock.now()));
+        for (PeerConnections connections : peers.values()) {
+            if (connections.announcing() != null) {
+                send(policy.sessionUp(connections.announcing(), clock.now()));
             }
         }
     }
 
-    /** An address goes from the configuration: it is withdrawn. */
+    /** Removes an address and withdraws its routes. */
     public void removeAddress(String address) {
         AnnouncePolicy policy = addresses.remove(address);
         if (policy != null) {
-            carryOut(policy.stands(new AddressStatus(ServiceHealth.Status.DOWN, false, true), clock.now()));
+            send(policy.updateStatus(new AddressStatus(ServiceHealth.Status.DOWN, false, true), clock.now()));
         }
     }
 
-    /** How an address stands now. */
-    public void updateStatus(String address, AddressStatus standing) {
+    /** Passes the current status of an address to its policy and sends the resulting updates. */
+    public void updateStatus(String address, AddressStatus status) {
         AnnouncePolicy policy = addresses.get(address);
         if (policy == null) {
             return;
         }
         String before = policy.modeName();
-        carryOut(policy.stands(standing, clock.now()));
+        send(policy.updateStatus(status, clock.now()));
         if (!before.equals(policy.modeName())) {
             Log.line("bgp: address " + address + " is " + policy.modeName() + ", was " + before);
         }
@@ -147,85 +147,86 @@
         return addresses.containsKey(address) && addresses.get(address).announced();
     }
 
-    /** Its addresses by name. */
+    /** The policies by address name. */
     public Map<String, AnnouncePolicy> addresses() {
         return java.util.Collections.unmodifiableMap(addresses);
     }
 
     public List<PeerStatus> status() {
         List<PeerStatus> all = new ArrayList<>();
-        peers.values().forEach(link -> all.add(link.status()));
+        peers.values().forEach(connections -> all.add(connections.status()));
         return all;
     }
 
-    /** Ends all sessions in order, with this reason, and calls {@code done} once their connections are closed. */
+    /** Ends all sessions with this NOTIFICATION and calls {@code done} once their connections are closed. */
     public void stop(Notification reason, Runnable done) {
         stopping = true;
         if (listener != null) {
             listener.close();
         }
-        peers.values().forEach(link -> link.stop(reason));
+        peers.values().forEach(connections -> connections.stop(reason));
         awaitClosed(List.copyOf(peers.values()), done);
     }
 
-    private void awaitClosed(List<PeerLink> links, Runnable done) {
-        if (links.stream().allMatch(PeerLink::closed)) {
-            ticking.cancel(false);
+    private void awaitClosed(List<PeerConnections> open, Runnable done) {
+        if (open.stream().allMatch(PeerConnections::closed)) {
+            tickTask.cancel(false);
             done.run();
         } else {
-            loop.schedule(() -> awaitClosed(links, done), TICK_MS, TimeUnit.MILLISECONDS);
+            loop.schedule(() -> awaitClosed(open, done), TICK_MS, TimeUnit.MILLISECONDS);
         }
     }
 
-    // ---- for its links ----
+    // ---- used by PeerConnections ----
 
-    ChannelFuture dial(PeerSettings terms, ChannelInitializer<SocketChannel> set) {
+    ChannelFuture dial(PeerSettings settings, ChannelInitializer<SocketChannel> set) {
         Bootstrap dial = new Bootstrap().group(loop).channel(io.netty.channel.socket.nio.NioSocketChannel.class)
             .option(ChannelOption.ALLOCATOR, allocator)
             .option(ChannelOption.TCP_NODELAY, true)
             .option(ChannelOption.RECVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(READ_SIZE))
             .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 5_000)
             .handler(set);
-        return terms.local() == null ? dial.connect(terms.at()) : dial.connect(terms.at(), new InetSocketAddress(terms.local(), 0));
+        return settings.local() == null ? dial.connect(settings.address())
+            : dial.connect(settings.address(), new InetSocketAddress(settings.local(), 0));
     }
 
     private void accepted(SocketChannel channel) {
         InetAddress from = channel.remoteAddress().getAddress();
-        for (PeerLink link : peers.values()) {
-            if (!stopping && link.terms().at().getAddress().equals(from)) {
-                link.accepted(channel);
+        for (PeerConnections connections : peers.values()) {
+            if (!stopping && connections.settings().address().getAddress().equals(from)) {
+                connections.accepted(channel);
                 return;
             }
         }
-        Log.line("bgp: " + from.getHostAddress() + " is no peer");
+        Log.line("bgp: connection from " + from.getHostAddress() + " refused: not a configured peer");
         channel.close();
     }
 
-    void established(AnnouncePolicy.Peer peer) {
-        addresses.values().forEach(policy -> carryOut(policy.up(peer, clock.now())));
+    void sessionEstablished(AnnouncePolicy.Peer peer) {
+        addresses.values().forEach(policy -> send(policy.sessionUp(peer, clock.now())));
     }
 
-    void ended(String peer) {
-        addresses.values().forEach(policy -> policy.down(peer));
+    void sessionEnded(String peer) {
+        addresses.values().forEach(policy -> policy.sessionDown(peer));
     }
 
     void refresh(String peer) {
-        addresses.values().forEach(policy -> carryOut(policy.refresh(peer)));
+        addresses.values().forEach(policy -> send(policy.refresh(peer)));
     }
 
-    private void carryOut(List<Order> orders) {
-        for (Order order : orders) {
-            PeerLink link = peers.get(order.peer());
-            if (link != null) {
-                Update update = order.update();
-                link.update(update);
+    private void send(List<PeerUpdate> updates) {
+        for (PeerUpdate peerUpdate : updates) {
+            PeerConnections connections = peers.get(peerUpdate.peer());
+            if (connections != null) {
+                Update update = peerUpdate.update();
+                connections.update(update);
             }
         }
     }
 
     private void tick() {
         long now = clock.now();
-        List.copyOf(peers.values()).forEach(link -> link.tick(now));
-        addresses.values().forEach(policy -> carryOut(policy.timers(now)));
+        List.copyOf(peers.values()).forEach(connections -> connections.tick(now));
+        addresses.values().forEach(policy -> send(policy.timers(now)));
     }
 }
--- a/src/test/java/onyxpaddle/bgp/FsmTest.java
+++ b/src/test/java/onyxpaddle/bgp/FsmTest.java
@@ -14,29 +14,29 @@
 import onyxpaddle.bgp.BgpMessage.Open;
 import onyxpaddle.bgp.Fsm.Action;
 import onyxpaddle.bgp.Fsm.Dial;
-import onyxpaddle.bgp.Fsm.Down;
+import onyxpaddle.bgp.Fsm.SessionDown;
 import onyxpaddle.bgp.Fsm.Drop;
 import onyxpaddle.bgp.Fsm.Event;
 import onyxpaddle.bgp.Fsm.Send;
 import onyxpaddle.bgp.Fsm.State;
-import onyxpaddle.bgp.Fsm.Up;
+import onyxpaddle.bgp.Fsm.SessionUp;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** The state machine against the table of RFC 4271, 8.2.2: every event in every state, then timers and damping. */
+/** Tests the state machine against the table of RFC 4271, 8.2.2, with every event in every state; then timers and damping. */
 class FsmTest {
     private static final long S = 1_000_000_000L;
     private static final Open PEER = new Open(4, 65002, 90, 2, Capabilities.OWN);
     private static final Notification ERROR = new Notification(ErrorCode.BAD_TYPE);
     private long now = 1_000 * S;
 
-    private static Fsm.Settings terms(boolean passive) {
+    private static Fsm.Settings settings(boolean passive) {
         return new Fsm.Settings(65001, 65002, 1, 30, 30 * S, 2 * S, 64 * S, passive);
     }
 
-    private Fsm in(State state) {
-        Fsm fsm = new Fsm(terms(state == State.ACTIVE), 7);
+    private Fsm fsmIn(State state) {
+        Fsm fsm = new Fsm(settings(state == State.ACTIVE), 7);
         if (state == State.IDLE) {
             return fsm;
         }
@@ -54,9 +54,12 @@
         return fsm;
     }
 
-    /** What an event does: the state after it, and the actions in short: D dial, X drop, ! down, + up, O K N message sent. */
+    /**
+     * The outcome of an event: abbreviated actions (D dial, X drop, ! session down, + session up, O K N message sent), then the
+     * state.
+     */
     private String outcome(State state, Event event) {
-        Fsm fsm = in(state);
+        Fsm fsm = fsmIn(state);
         BgpMessage message = switch (event) {
             case BGP_OPEN -> PEER;
             case MESSAGE_ERROR, NOTIF_MSG, NOTIF_MSG_VER_ERR -> ERROR;
@@ -71,14 +74,14 @@
             return send.message() instanceof Notification n ? "N" + n.code() + "/" + n.subcode() + " "
                 : send.message() instanceof Open ? "O" : "K";
         }
-        return action instanceof Dial ? "D" : action instanceof Drop ? "X" : action instanceof Up ? "+" : "!";
+        return action instanceof Dial ? "D" : action instanceof Drop ? "X" : action instanceof SessionUp ? "+" : "!";
     }
 
-    private static final Map<State, String> REST = new EnumMap<>(Map.of(State.CONNECT, "X! IDLE +1", State.ACTIVE, "X! IDLE +1",
+    private static final Map<State, String> DEFAULT_OUTCOME = new EnumMap<>(Map.of(State.CONNECT, "X! IDLE +1", State.ACTIVE, "X! IDLE +1",
         State.OPEN_SENT, "N5/1 X! IDLE +1", State.OPEN_CONFIRM, "N5/2 X! IDLE +1", State.ESTABLISHED, "N5/3 X! IDLE +1"));
 
-    /** The cells that differ from the rest of their row; {@code =}: nothing happens. */
-    private static String cell(State state, Event event) {
+    /** The expected outcome: the exceptions in each row of the table, otherwise the default of the state. */
+    private static String expected(State state, Event event) {
         if (state == State.IDLE) {
             return switch (event) {
                 case MANUAL_START -> "D CONNECT";
@@ -91,39 +94,40 @@
         return switch (event) {
             case MANUAL_START -> stays;
             case MANUAL_STOP -> open ? "N6/2 X! IDLE" : "X! IDLE";
-            case IDLE_HOLD_TIMER_EXPIRES -> open ? REST.get(state) : stays;
-            case AUTOMATIC_STOP -> open ? "N6/4 X! IDLE +1" : REST.get(state);
-            case OPEN_COLLISION_DUMP -> open ? "N6/7 X! IDLE" : REST.get(state);
-            case CONNECT_RETRY_TIMER_EXPIRES -> open ? REST.get(state) : state == State.CONNECT ? "XD CONNECT" : "ACTIVE";
-            case TCP_CR_ACKED, TCP_CONNECTION_CONFIRMED -> open ? REST.get(state) : "O OPEN_SENT";
+            case IDLE_HOLD_TIMER_EXPIRES -> open ? DEFAULT_OUTCOME.get(state) : stays;
+            case AUTOMATIC_STOP -> open ? "N6/4 X! IDLE +1" : DEFAULT_OUTCOME.get(state);
+            case OPEN_COLLISION_DUMP -> open ? "N6/7 X! IDLE" : DEFAULT_OUTCOME.get(state);
+            case CONNECT_RETRY_TIMER_EXPIRES -> open ? DEFAULT_OUTCOME.get(state) : state == State.CONNECT ? "XD CONNECT" : "ACTIVE";
+            case TCP_CR_ACKED, TCP_CONNECTION_CONFIRMED -> open ? DEFAULT_OUTCOME.get(state) : "O OPEN_SENT";
             case TCP_CONNECTION_FAILS -> state == State.OPEN_SENT ? "X ACTIVE" : state == State.CONNECT ? "X! IDLE" : "X! IDLE +1";
-            case HOLD_TIMER_EXPIRES -> open ? "N4/0 X! IDLE +1" : REST.get(state);
+            case HOLD_TIMER_EXPIRES -> open ? "N4/0 X! IDLE +1" : DEFAULT_OUTCOME.get(state);
             case SEND_HOLD_TIMER_EXPIRES -> "X! IDLE +1";
-            case KEEPALIVE_TIMER_EXPIRES -> state.compareTo(State.OPEN_CONFIRM) >= 0 ? "K " + stays : REST.get(state);
-            case BGP_OPEN -> state == State.OPEN_SENT ? "K OPEN_CONFIRM" : REST.get(state);
-            case MESSAGE_ERROR -> open ? "N1/3 X! IDLE +1" : REST.get(state);
+            case KEEPALIVE_TIMER_EXPIRES -> state.compareTo(State.OPEN_CONFIRM) >= 0 ? "K " + stays : DEFAULT_OUTCOME.get(state);
+            case BGP_OPEN -> state == State.OPEN_SENT ? "K OPEN_CONFIRM" : DEFAULT_OUTCOME.get(state);
+            case MESSAGE_ERROR -> open ? "N1/3 X! IDLE +1" : DEFAULT_OUTCOME.get(state);
             case NOTIF_MSG_VER_ERR -> state == State.OPEN_SENT || state == State.OPEN_CONFIRM ? "X! IDLE" : "X! IDLE +1";
             case NOTIF_MSG -> "X! IDLE +1";
-            case KEEPALIVE_MSG -> state == State.OPEN_CONFIRM ? "+ ESTABLISHED" : state == State.ESTABLISHED ? stays : REST.get(state);
-            case UPDATE_MSG -> state == State.ESTABLISHED ? stays : REST.get(state);
+            case KEEPALIVE_MSG -> state == State.OPEN_CONFIRM ? "+ ESTABLISHED" : state == State.ESTABLISHED ? stays
+                : DEFAULT_OUTCOME.get(state);
+            case UPDATE_MSG -> state == State.ESTABLISHED ? stays : DEFAULT_OUTCOME.get(state);
         };
     }
 
     @ParameterizedTest
     @EnumSource(Event.class)
-    void eachEventInEachStateDoesWhatTheTableSays(Event event) {
+    void eachEventInEachStateFollowsTheTable(Event event) {
         for (State state : State.values()) {
-            assertEquals(cell(state, event), outcome(state, event), event + " in " + state);
+            assertEquals(expected(state, event), outcome(state, event), event + " in " + state);
         }
     }
 
     private void assertRefused(Open open, String error) {
-        List<Action> actions = in(State.OPEN_SENT).handle(Event.BGP_OPEN, open, now);
+        List<Action> actions = fsmIn(State.OPEN_SENT).handle(Event.BGP_OPEN, open, now);
         assertEquals(error, brief(actions.get(0)).trim());
     }
 
     @Test
-    void anOpenAtFaultIsAnsweredWithWhatIsWrong() {
+    void anInvalidOpenIsAnsweredWithItsError() {
         assertRefused(new Open(3, 65002, 90, 2, Capabilities.OWN), "N2/1");
         assertRefused(new Open(4, 65003, 90, 2, Capabilities.OWN), "N2/2");
         assertRefused(new Open(4, 65002, 90, 0, Capabilities.OWN), "N2/3");
@@ -136,8 +140,8 @@
     }
 
     @Test
-    void theLowerHoldTimeHoldsAndAThirdOfItIsTheKeepalive() {
-        Fsm fsm = in(State.ESTABLISHED);
+    void theLowerHoldTimeIsUsedAndKeepalivesAreSentAtAThirdOfIt() {
+        Fsm fsm = fsmIn(State.ESTABLISHED);
         assertTrue(fsm.due() > now + 7 * S && fsm.due() <= now + 10 * S, "a third of 30 s, jittered");
         now = fsm.due();
         assertEquals(List.of(new Send(new Keepalive())), fsm.timers(now));
@@ -148,38 +152,38 @@
     }
 
     @Test
-    void aHoldTimeOfZeroMeansNoTimers() {
-        Fsm fsm = in(State.OPEN_SENT);
+    void aHoldTimeOfZeroDisablesTheTimers() {
+        Fsm fsm = fsmIn(State.OPEN_SENT);
         fsm.handle(Event.BGP_OPEN, new Open(4, 65002, 0, 2, Capabilities.OWN), now);
         List<Action> up = fsm.handle(Event.KEEPALIVE_MSG, now);
-        assertEquals(0, ((Up) up.get(0)).holdTime());
-        assertTrue(fsm.due() >= now + 480 * S, "only the send hold timer is left");
+        assertEquals(0, ((SessionUp) up.get(0)).holdTime());
+        assertTrue(fsm.due() >= now + 480 * S, "only the send hold timer is running");
     }
 
     @Test
-    void aPeerThatReadsNothingIsLeftByTheSendHoldTimer() {
-        Fsm fsm = in(State.ESTABLISHED);
+    void theSendHoldTimerEndsTheSessionWithAPeerThatDoesNotRead() {
+        Fsm fsm = fsmIn(State.ESTABLISHED);
         for (int i = 0; i < 479; i++) {
             now += S;
             fsm.handle(Event.KEEPALIVE_MSG, now);
             fsm.timers(now);
         }
         assertEquals(State.ESTABLISHED, fsm.state());
-        fsm.taken(now);
+        fsm.writeCompleted(now);
         now += 470 * S;
         fsm.handle(Event.KEEPALIVE_MSG, now);
         fsm.timers(now);
-        assertEquals(State.ESTABLISHED, fsm.state(), "it has read something");
+        assertEquals(State.ESTABLISHED, fsm.state(), "the peer has read data");
         now += 11 * S;
         fsm.handle(Event.KEEPALIVE_MSG, now);
         assertTrue(fsm.timers(now).stream().noneMatch(a -> a instanceof Send s && s.message() instanceof Notification));
         assertEquals(State.IDLE, fsm.state());
     }
 
-    /** The wait grows with each failure to a bound, and is short again after a session that stood. */
+    /** The idle time grows with each failure up to a limit, and is reset after a session that was stable for a minute. */
     @Test
-    void aPeerThatFlapsIsLeftAloneForLongerEachTime() {
-        Fsm fsm = in(State.ESTABLISHED);
+    void theIdleHoldTimeGrowsForAFlappingPeer() {
+        Fsm fsm = fsmIn(State.ESTABLISHED);
         long before = 0;
         for (int i = 0; i < 9; i++) {
             fsm.handle(Event.TCP_CONNECTION_FAILS, now);
@@ -194,25 +198,25 @@
             fsm.handle(Event.BGP_OPEN, PEER, now);
             fsm.handle(Event.KEEPALIVE_MSG, now);
         }
-        Fsm restarted = new Fsm(terms(false), 8);
-        restarted.recall(fsm.failures());
+        Fsm restarted = new Fsm(settings(false), 8);
+        restarted.restoreFailures(fsm.failures());
         restarted.handle(Event.MANUAL_START, now);
         restarted.handle(Event.TCP_CR_ACKED, now);
         restarted.handle(Event.NOTIF_MSG, ERROR, now);
-        assertTrue(restarted.due() - now >= 48 * S, "a restart is no amnesty");
+        assertTrue(restarted.due() - now >= 48 * S, "damping survives a restart");
         now += 61 * S;
         fsm.handle(Event.KEEPALIVE_MSG, now);
         fsm.handle(Event.TCP_CONNECTION_FAILS, now);
-        assertTrue(fsm.due() - now <= 2 * S, "it stood for a minute");
+        assertTrue(fsm.due() - now <= 2 * S, "the session was stable for a minute");
     }
 
     @Test
-    void stoppedStaysStopped() {
-        Fsm fsm = in(State.ESTABLISHED);
+    void aStoppedSessionIsNotRestarted() {
+        Fsm fsm = fsmIn(State.ESTABLISHED);
         Notification reason = new Notification(ErrorCode.DECONFIGURED);
-        assertEquals(List.of(new Send(reason), new Drop(), new Down("stopped")), fsm.handle(Event.MANUAL_STOP, reason, now));
+        assertEquals(List.of(new Send(reason), new Drop(), new SessionDown("stopped")), fsm.handle(Event.MANUAL_STOP, reason, now));
         assertEquals(Long.MAX_VALUE, fsm.due());
         assertNull(fsm.peer());
-        assertFalse(fsm.handle(Event.MANUAL_START, now).isEmpty(), "until it is started again");
+        assertFalse(fsm.handle(Event.MANUAL_START, now).isEmpty(), "can be started again");
     }
 }
--- a/src/test/java/onyxpaddle/bgp/PeeringTest.java
+++ b/src/test/java/onyxpaddle/bgp/PeeringTest.java
@@ -12,12 +12,12 @@
 import onyxpaddle.bgp.Fsm.Event;
 import onyxpaddle.bgp.Fsm.Send;
 import onyxpaddle.bgp.Fsm.State;
-import onyxpaddle.bgp.Fsm.Up;
-import onyxpaddle.bgp.Peering.Link;
-import onyxpaddle.bgp.Peering.Order;
+import onyxpaddle.bgp.Fsm.SessionUp;
+import onyxpaddle.bgp.Peering.Connection;
+import onyxpaddle.bgp.Peering.ConnectionAction;
 import org.junit.jupiter.api.Test;
 
-/** Both sides connect at once: one connection stays, and both sides agree which (RFC 4271, 6.8). */
+/** Connection collisions: both sides connect at once, and both must keep the same connection (RFC 4271, 6.8). */
 class PeeringTest {
     private static final long S = 1_000_000_000L;
     private final long now = 50 * S;
@@ -30,79 +30,81 @@
         return new Open(4, 65002, 30, identifier, Capabilities.OWN);
     }
 
-    /** One whose own connection and the peer's both have an OPEN out. */
+    /** A peering that has sent an OPEN on both its own and the peer's connection. */
     private Peering both(long identifier) {
         Peering p = peering(identifier);
         p.start(now);
-        p.dialled(now);
-        assertEquals(Link.OTHER, p.accepts());
-        p.accepted(Link.OTHER, now);
-        assertNull(p.accepts(), "a third one is closed at once");
+        p.connected(now);
+        assertEquals(Connection.SECONDARY, p.accepts());
+        p.accepted(Connection.SECONDARY, now);
+        assertNull(p.accepts(), "a third connection is closed at once");
         return p;
     }
 
-    private static boolean sends(List<Order> orders, Link link, ErrorCode error) {
-        return orders.stream().anyMatch(o -> o.link() == link && o.action() instanceof Send s && s.message() instanceof Notification n
-            && n.code() == error.code && n.subcode() == error.subcode) && orders.contains(new Order(link, new Drop()));
+    private static boolean sends(List<ConnectionAction> actions, Connection connection, ErrorCode error) {
+        return actions.stream().anyMatch(o -> o.connection() == connection && o.action() instanceof Send s
+            && s.message() instanceof Notification n && n.code() == error.code && n.subcode() == error.subcode)
+            && actions.contains(new ConnectionAction(connection, new Drop()));
     }
 
     @Test
-    void theConnectionOfTheHigherIdentifierStays() {
+    void theConnectionOfTheHigherIdentifierIsKept() {
         Peering higher = both(9);
-        higher.happened(Link.MAIN, Event.BGP_OPEN, open(2), now);
-        assertTrue(sends(higher.happened(Link.OTHER, Event.BGP_OPEN, open(2), now), Link.OTHER, ErrorCode.COLLISION));
+        higher.handle(Connection.PRIMARY, Event.BGP_OPEN, open(2), now);
+        assertTrue(sends(higher.handle(Connection.SECONDARY, Event.BGP_OPEN, open(2), now), Connection.SECONDARY, ErrorCode.COLLISION));
         assertEquals(State.OPEN_CONFIRM, higher.state());
         Peering lower = both(1);
-        lower.happened(Link.MAIN, Event.BGP_OPEN, open(2), now);
-        List<Order> orders = lower.happened(Link.OTHER, Event.BGP_OPEN, open(2), now);
+        lower.handle(Connection.PRIMARY, Event.BGP_OPEN, open(2), now);
+        List<ConnectionAction> actions = lower.handle(Connection.SECONDARY, Event.BGP_OPEN, open(2), now);
         assertTrue(lower.swapped());
-        assertTrue(sends(orders, Link.MAIN, ErrorCode.COLLISION));
-        assertTrue(orders.stream().anyMatch(o -> o.link() == Link.OTHER && o.action() instanceof Send s
-            && s.message() instanceof BgpMessage.Keepalive), "the peer's own goes on");
+        assertTrue(sends(actions, Connection.PRIMARY, ErrorCode.COLLISION));
+        assertTrue(actions.stream().anyMatch(o -> o.connection() == Connection.SECONDARY && o.action() instanceof Send s
+            && s.message() instanceof BgpMessage.Keepalive), "the peer's connection continues");
         assertEquals(State.OPEN_CONFIRM, lower.state());
-        assertTrue(lower.happened(Link.MAIN, Event.KEEPALIVE_MSG, null, now).stream().anyMatch(o -> o.action() instanceof Up));
+        assertTrue(lower.handle(Connection.PRIMARY, Event.KEEPALIVE_MSG, null, now).stream()
+            .anyMatch(o -> o.action() instanceof SessionUp));
     }
 
     @Test
     void theOrderInWhichTheOpensComeDoesNotMatter() {
         for (long identifier : new long[] {1, 9}) {
             Peering p = both(identifier);
-            p.happened(Link.OTHER, Event.BGP_OPEN, open(2), now);
-            List<Order> orders = p.happened(Link.MAIN, Event.BGP_OPEN, open(2), now);
-            assertTrue(sends(orders, identifier == 9 ? Link.OTHER : Link.MAIN, ErrorCode.COLLISION));
+            p.handle(Connection.SECONDARY, Event.BGP_OPEN, open(2), now);
+            List<ConnectionAction> actions = p.handle(Connection.PRIMARY, Event.BGP_OPEN, open(2), now);
+            assertTrue(sends(actions, identifier == 9 ? Connection.SECONDARY : Connection.PRIMARY, ErrorCode.COLLISION));
             assertEquals(identifier == 1, p.swapped());
             assertEquals(State.OPEN_CONFIRM, p.state());
         }
     }
 
     @Test
-    void anEstablishedSessionStaysAndTakesNoSecondConnection() {
+    void anEstablishedSessionIsKeptAndRefusesASecondConnection() {
         Peering p = both(1);
-        p.happened(Link.MAIN, Event.BGP_OPEN, open(2), now);
-        p.happened(Link.MAIN, Event.KEEPALIVE_MSG, null, now);
+        p.handle(Connection.PRIMARY, Event.BGP_OPEN, open(2), now);
+        p.handle(Connection.PRIMARY, Event.KEEPALIVE_MSG, null, now);
         assertEquals(State.ESTABLISHED, p.state());
-        assertTrue(sends(p.happened(Link.OTHER, Event.BGP_OPEN, open(2), now), Link.OTHER, ErrorCode.COLLISION));
+        assertTrue(sends(p.handle(Connection.SECONDARY, Event.BGP_OPEN, open(2), now), Connection.SECONDARY, ErrorCode.COLLISION));
         assertEquals(State.ESTABLISHED, p.state());
         assertNull(p.accepts());
     }
 
     @Test
-    void aSecondConnectionThatFailsLeavesTheFirstAlone() {
+    void aFailedSecondConnectionDoesNotAffectTheFirst() {
         Peering p = both(1);
-        List<Order> orders = p.happened(Link.OTHER, Event.TCP_CONNECTION_FAILS, null, now);
-        assertTrue(orders.stream().noneMatch(o -> o.link() == Link.MAIN));
-        p.happened(Link.OTHER, Event.NOTIF_MSG, new Notification(ErrorCode.CONFIGURATION), now);
+        List<ConnectionAction> actions = p.handle(Connection.SECONDARY, Event.TCP_CONNECTION_FAILS, null, now);
+        assertTrue(actions.stream().noneMatch(o -> o.connection() == Connection.PRIMARY));
+        p.handle(Connection.SECONDARY, Event.NOTIF_MSG, new Notification(ErrorCode.CONFIGURATION), now);
         assertEquals(State.OPEN_SENT, p.state());
-        p.happened(Link.MAIN, Event.BGP_OPEN, open(2), now);
-        assertTrue(p.happened(Link.MAIN, Event.KEEPALIVE_MSG, null, now).stream().anyMatch(o -> o.action() instanceof Up));
+        p.handle(Connection.PRIMARY, Event.BGP_OPEN, open(2), now);
+        assertTrue(p.handle(Connection.PRIMARY, Event.KEEPALIVE_MSG, null, now).stream().anyMatch(o -> o.action() instanceof SessionUp));
     }
 
     @Test
-    void aPeerThatDialsWhileThisSideStillDoesIsTakenInItsPlace() {
+    void anIncomingConnectionReplacesAPendingOutgoingOne() {
         Peering p = peering(1);
         p.start(now);
-        assertEquals(Link.MAIN, p.accepts());
-        p.accepted(Link.MAIN, now);
+        assertEquals(Connection.PRIMARY, p.accepts());
+        p.accepted(Connection.PRIMARY, now);
         assertEquals(State.OPEN_SENT, p.state());
     }
 
@@ -110,8 +112,8 @@
     void stopEndsBothConnectionsWithTheReason() {
         Peering p = both(1);
         Notification reason = new Notification(ErrorCode.SHUTDOWN);
-        List<Order> orders = p.stop(reason, now);
-        assertTrue(sends(orders, Link.MAIN, ErrorCode.SHUTDOWN) && sends(orders, Link.OTHER, ErrorCode.SHUTDOWN));
+        List<ConnectionAction> actions = p.stop(reason, now);
+        assertTrue(sends(actions, Connection.PRIMARY, ErrorCode.SHUTDOWN) && sends(actions, Connection.SECONDARY, ErrorCode.SHUTDOWN));
         assertEquals(Long.MAX_VALUE, p.due());
         assertNull(p.accepts());
     }
--- a/src/test/java/onyxpaddle/bgp/ServiceHealthTest.java
+++ b/src/test/java/onyxpaddle/bgp/ServiceHealthTest.java
@@ -9,7 +9,7 @@
 import onyxpaddle.bgp.ServiceHealth.Verdict;
 import org.junit.jupiter.api.Test;
 
-/** A pool is what the node sees of it, with a margin and a least time on the way back. */
+/** Tests the health of a pool by observations, with a margin and a minimum dwell time before it improves. */
 class ServiceHealthTest {
     private static final long MS = 1_000_000L;
     private static final long S = 1000 * MS;
@@ -19,74 +19,76 @@
     private long refused;
     private long failed;
 
-    /** So many looks, four a second, with what is served, refused and failed between them. */
-    private Verdict look(int times, int good, int turnedAway, int bad) {
+    /** Makes observations at four per second, adding the given numbers of served, refused and failed requests before each. */
+    private Verdict observe(int times, int servedEach, int refusedEach, int failedEach) {
         for (int i = 0; i < times; i++) {
             now += 250 * MS;
-            served += good;
-            refused += turnedAway;
-            failed += bad;
+            served += servedEach;
+            refused += refusedEach;
+            failed += failedEach;
             health.observe(new Observation(true, 4, 4, served, refused, failed, 0), now);
         }
         return health.verdict();
     }
 
     @Test
-    void anIdlePoolWithSoundServersIsUpAndOneWithoutAnyIsDownAtOnce() {
-        assertEquals(Status.UP, look(1, 0, 0, 0).status());
-        assertEquals(Status.UP, look(400, 0, 0, 0).status());
+    void anIdlePoolIsUpWithAvailableServersAndDownAtOnceWithoutAny() {
+        assertEquals(Status.UP, observe(1, 0, 0, 0).status());
+        assertEquals(Status.UP, observe(400, 0, 0, 0).status());
         Verdict verdict = health.observe(new Observation(true, 4, 0, 0, 0, 0, 0), now + 1);
-        assertEquals(new Verdict(Status.DOWN, "none of 4 servers is sound", now + 1), verdict);
-        assertEquals("no server is listed", new ServiceHealth(Settings.USUAL, 0).observe(new Observation(true, 0, 0, 0, 0, 0, 0), 1).reason());
-        assertEquals("not ready to serve", new ServiceHealth(Settings.USUAL, 0).observe(new Observation(false, 1, 1, 0, 0, 0, 0), 1).reason());
+        assertEquals(new Verdict(Status.DOWN, "none of 4 servers is available", now + 1), verdict);
+        assertEquals("no servers listed",
+            new ServiceHealth(Settings.USUAL, 0).observe(new Observation(true, 0, 0, 0, 0, 0, 0), 1).reason());
+        assertEquals("not ready to serve",
+            new ServiceHealth(Settings.USUAL, 0).observe(new Observation(false, 1, 1, 0, 0, 0, 0), 1).reason());
     }
 
     @Test
-    void whatComesBackWaitsForItsDwellTime() {
-        look(4, 0, 0, 0);
+    void improvementWaitsForTheDwellTime() {
+        observe(4, 0, 0, 0);
         health.observe(new Observation(false, 4, 4, 0, 0, 0, 0), now);
-        assertEquals(Status.DOWN, look(19, 0, 0, 0).status());
-        assertEquals(Status.UP, look(1, 0, 0, 0).status());
+        assertEquals(Status.DOWN, observe(19, 0, 0, 0).status());
+        assertEquals(Status.UP, observe(1, 0, 0, 0).status());
     }
 
     @Test
-    void theShareServedDegradesAndBringsDownWithAMarginOnTheWayBack() {
-        look(40, 10, 0, 0);
-        assertEquals(Status.UP, look(40, 19, 0, 1).status(), "95 in 100 is well");
-        assertEquals(Status.DEGRADED, look(40, 17, 0, 3).status());
-        assertTrue(health.verdict().reason().contains("in 100 requests"), health.verdict().reason());
-        assertEquals(Status.DEGRADED, look(60, 92, 8, 0).status(), "over the bound, within the margin");
-        assertEquals(Status.UP, look(60, 98, 2, 0).status());
-        assertEquals(Status.DOWN, look(40, 2, 8, 0).status());
-        assertEquals(Status.DOWN, look(60, 33, 67, 0).status());
-        assertEquals(Status.DEGRADED, look(60, 50, 50, 0).status());
+    void theShareServedDecidesWithAMarginBeforeImprovement() {
+        observe(40, 10, 0, 0);
+        assertEquals(Status.UP, observe(40, 19, 0, 1).status(), "95% served is up");
+        assertEquals(Status.DEGRADED, observe(40, 17, 0, 3).status());
+        assertTrue(health.verdict().reason().contains("% of requests"), health.verdict().reason());
+        assertEquals(Status.DEGRADED, observe(60, 92, 8, 0).status(), "above the threshold, but within the margin");
+        assertEquals(Status.UP, observe(60, 98, 2, 0).status());
+        assertEquals(Status.DOWN, observe(40, 2, 8, 0).status());
+        assertEquals(Status.DOWN, observe(60, 33, 67, 0).status());
+        assertEquals(Status.DEGRADED, observe(60, 50, 50, 0).status());
     }
 
     @Test
-    void aFewFailuresOfAFewRequestsSayNothing() {
-        look(4, 0, 0, 0);
-        assertEquals(Status.UP, look(2, 0, 0, 4).status(), "8 of 8 failed: too few to say");
-        assertEquals(Status.DOWN, look(20, 0, 0, 4).status());
-        // Withdrawn, nobody asks it any more, and what is idle is taken by its servers again.
-        assertEquals(Status.UP, look(60, 0, 0, 0).status());
+    void failuresOfTooFewRequestsAreIgnored() {
+        observe(4, 0, 0, 0);
+        assertEquals(Status.UP, observe(2, 0, 0, 4).status(), "8 of 8 failed: too few requests");
+        assertEquals(Status.DOWN, observe(20, 0, 0, 4).status());
+        // Once withdrawn, the address gets no more requests, and an idle pool is judged by its servers alone.
+        assertEquals(Status.UP, observe(60, 0, 0, 0).status());
     }
 
     @Test
-    void aLoopThatIsLateDegradesIt() {
-        look(4, 0, 0, 0);
+    void eventLoopLagDegradesThePool() {
+        observe(4, 0, 0, 0);
         assertEquals(Status.DEGRADED, health.observe(new Observation(true, 4, 4, 0, 0, 0, 600 * MS), now + MS).status());
-        assertEquals(Status.DEGRADED, look(10, 0, 0, 0).status());
-        assertEquals(Status.UP, look(20, 0, 0, 0).status());
+        assertEquals(Status.DEGRADED, observe(10, 0, 0, 0).status());
+        assertEquals(Status.UP, observe(20, 0, 0, 0).status());
     }
 
-    /** A pool on the edge changes seldom. */
+    /** A pool whose share of served requests varies around the threshold must rarely change its status. */
     @Test
-    void aShareThatSwingsAboutTheBoundDoesNotFlap() {
-        look(40, 10, 0, 0);
+    void aShareVaryingAroundTheThresholdDoesNotFlap() {
+        observe(40, 10, 0, 0);
         int changes = 0;
         Status last = health.verdict().status();
         for (int i = 0; i < 240; i++) {
-            Status status = look(5, i % 2 == 0 ? 93 : 87, i % 2 == 0 ? 7 : 13, 0).status();
+            Status status = observe(5, i % 2 == 0 ? 93 : 87, i % 2 == 0 ? 7 : 13, 0).status();
             changes += status == last ? 0 : 1;
             last = status;
         }
--- a/src/test/java/onyxpaddle/bgp/SpeakerTest.java
+++ b/src/test/java/onyxpaddle/bgp/SpeakerTest.java
@@ -28,10 +28,10 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** The speaker against a stand-in router: sessions, drains, flaps, floods and collisions, on loopback. */
+/** Tests the speaker against a simulated router on loopback: sessions, drains, flapping, floods and collisions. */
 class SpeakerTest {
     private static final long MS = 1_000_000L;
-    private static final long PATIENCE_S = 20;
+    private static final long TIMEOUT_S = 20;
     private static final long HOLD_DOWN = 200 * MS;
     private static final String ADDRESS = "10.9.8.7/32";
     private static final AddressStatus UP = new AddressStatus(Status.UP, false, false);
@@ -44,11 +44,13 @@
     @BeforeEach
     void begin() throws Exception {
         peer = new StandInBgpPeer("127.0.0.1", 65002, 0x0a000002, 30);
-        speaker = on(() -> new Speaker(loop, UnpooledByteBufAllocator.DEFAULT, clock, 5));
-        on(() -> speaker.listen(new InetSocketAddress("127.0.0.1", 0))).sync();
-        on(() -> {
-            speaker.add("booking", new AnnouncePolicy(new AnnouncePolicy.Settings(List.of(new Prefix(new byte[] {10, 9, 8, 7}, 32)), false, false,
-                10L, 200L, List.of(), List.of(), 2, HOLD_DOWN, 2_000 * MS, 60), clock.now()));
+        speaker = onLoop(() -> new Speaker(loop, UnpooledByteBufAllocator.DEFAULT, clock, 5));
+        onLoop(() -> speaker.listen(new InetSocketAddress("127.0.0.1", 0))).sync();
+        onLoop(() -> {
+            speaker.add("booking", new AnnouncePolicy(new AnnouncePolicy.Settings(
+                List.of(new Prefix(new byte[] {10, 9, 8, 7}, 32)), false, false,
+                10L, 200L, List.of(), List.of(), 2, HOLD_DOWN, 2_000 * MS, 60),
+                clock.now()));
             return null;
         });
     }
@@ -59,57 +61,58 @@
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
     }
 
-    private <T> T on(Callable<T> work) throws Exception {
-        return loop.submit(work).get(PATIENCE_S, TimeUnit.SECONDS);
+    private <T> T onLoop(Callable<T> work) throws Exception {
+        return loop.submit(work).get(TIMEOUT_S, TimeUnit.SECONDS);
     }
 
-    private static PeerSettings terms(StandInBgpPeer to, String name, int peerAs, int mostPrefixes) {
-        return new PeerSettings(name, to.address(), InetAddress.getLoopbackAddress(), new Fsm.Settings(65001, peerAs, 0x0a000001, 30, 300 * MS,
-            50 * MS, 400 * MS, false), new byte[] {10, 0, 0, 1}, null, mostPrefixes);
+    private static PeerSettings settings(StandInBgpPeer to, String name, int peerAs, int maxPrefixes) {
+        return new PeerSettings(name, to.address(), InetAddress.getLoopbackAddress(),
+            new Fsm.Settings(65001, peerAs, 0x0a000001, 30, 300 * MS, 50 * MS, 400 * MS, false),
+            new byte[] {10, 0, 0, 1}, null, maxPrefixes);
     }
 
-    private void add(PeerSettings terms) throws Exception {
-        on(() -> {
-            speaker.add(terms, 0);
+    private void add(PeerSettings settings) throws Exception {
+        onLoop(() -> {
+            speaker.add(settings, 0);
             return null;
         });
     }
 
-    private void stands(AddressStatus standing) throws Exception {
-        on(() -> {
-            speaker.updateStatus("booking", standing);
+    private void updateStatus(AddressStatus status) throws Exception {
+        onLoop(() -> {
+            speaker.updateStatus("booking", status);
             return null;
         });
     }
 
     private static void await(String what, Callable<Boolean> holds) throws Exception {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_S);
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_S);
         while (!holds.call()) {
             assertTrue(System.nanoTime() < end, what);
             TimeUnit.MILLISECONDS.sleep(1);
         }
     }
 
-    private State state() throws Exception {
-        return on(() -> speaker.status().get(0).state());
+    private State sessionState() throws Exception {
+        return onLoop(() -> speaker.status().get(0).state());
     }
 
     @Test
-    void aDrainIsSaidAndWithdrawnOnlyWithTheLastAnswer() throws Exception {
-        add(terms(peer, "router", 65002, 100));
+    void aDrainIsAnnouncedAndWithdrawnOnlyAfterTheLastAnswer() throws Exception {
+        add(settings(peer, "router", 65002, 100));
         await("no session", peer::established);
-        assertTrue(peer.table().isEmpty(), "nothing before the service is up");
-        stands(UP);
+        assertTrue(peer.table().isEmpty(), "nothing announced before the service is up");
+        updateStatus(UP);
         await("not announced", () -> peer.table().containsKey(ADDRESS));
-        stands(new AddressStatus(Status.UP, true, false));
-        await("the drain is not said", () -> peer.table().getOrDefault(ADDRESS, "").contains("ffff0000"));
-        // As long as a request is out nothing is withdrawn, whatever else is looked at meanwhile.
+        updateStatus(new AddressStatus(Status.UP, true, false));
+        await("drain not announced", () -> peer.table().getOrDefault(ADDRESS, "").contains("ffff0000"));
+        // While a request is pending nothing is withdrawn, however often the status is updated.
         for (int i = 0; i < 20; i++) {
-            stands(new AddressStatus(Status.UP, true, false));
+            updateStatus(new AddressStatus(Status.UP, true, false));
         }
         assertTrue(peer.table().containsKey(ADDRESS));
         long answered = System.nanoTime();
-        stands(new AddressStatus(Status.UP, true, true));
+        updateStatus(new AddressStatus(Status.UP, true, true));
         await("not withdrawn", () -> !peer.table().containsKey(ADDRESS));
         assertTrue(System.nanoTime() - answered < 2_000 * MS);
         assertEquals(3, peer.changes().size(), peer.changes().toString());
@@ -117,15 +120,15 @@
     }
 
     @Test
-    void downIsWithdrawnAndUpAgainAnnouncedAfterTheHoldDown() throws Exception {
-        add(terms(peer, "router", 65002, 100));
-        stands(UP);
+    void downIsWithdrawnAndAnnouncedAgainAfterTheHoldDown() throws Exception {
+        add(settings(peer, "router", 65002, 100));
+        updateStatus(UP);
         await("not announced", () -> peer.table().containsKey(ADDRESS));
-        // Before the withdrawal: the peer may hear of that late, but of the next announcement never too soon.
+        // Measured from before the withdrawal: the peer may see it late, but must not see the next announcement too early.
         long down = System.nanoTime();
-        stands(new AddressStatus(Status.DOWN, false, false));
+        updateStatus(new AddressStatus(Status.DOWN, false, false));
         await("not withdrawn", () -> !peer.table().containsKey(ADDRESS));
-        stands(UP);
+        updateStatus(UP);
         await("not announced again", () -> peer.table().containsKey(ADDRESS));
         List<StandInBgpPeer.Change> changes = peer.changes();
         assertTrue(changes.get(2).at() - down >= HOLD_DOWN, "held down");
@@ -133,32 +136,32 @@
     }
 
     @Test
-    void aSessionThatFlapsIsTakenUpAgainLaterEachTimeAndToldWhatHolds() throws Exception {
-        add(terms(peer, "router", 65002, 100));
-        stands(UP);
+    void aFlappingSessionIsReestablishedAndGetsTheCurrentRoutes() throws Exception {
+        add(settings(peer, "router", 65002, 100));
+        updateStatus(UP);
         for (int i = 1; i <= 5; i++) {
             int session = i;
             await("no session " + i, () -> peer.sessions() == session && peer.table().containsKey(ADDRESS));
             peer.closeSession();
         }
-        await("no last session", () -> peer.sessions() == 6 && peer.table().containsKey(ADDRESS));
-        assertTrue(on(() -> speaker.status().get(0).failures()) >= 5);
+        await("no session after the last failure", () -> peer.sessions() == 6 && peer.table().containsKey(ADDRESS));
+        assertTrue(onLoop(() -> speaker.status().get(0).failures()) >= 5);
         assertEquals(6, peer.changes().stream().filter(StandInBgpPeer.Change::announced).count());
         assertEquals(List.of(), peer.faults());
     }
 
     @Test
-    void bothSidesDialAtOnceAndOneSessionStands() throws Exception {
-        stands(UP);
+    void simultaneousConnectionsResultInOneSession() throws Exception {
+        updateStatus(UP);
         for (int i = 0; i < 5; i++) {
-            add(terms(peer, "router", 65002, 100));
-            peer.dial(on(() -> speaker.address()));
-            await("no session", () -> peer.established() && peer.table().containsKey(ADDRESS) && state() == State.ESTABLISHED);
-            on(() -> {
+            add(settings(peer, "router", 65002, 100));
+            peer.dial(onLoop(() -> speaker.address()));
+            await("no session", () -> peer.established() && peer.table().containsKey(ADDRESS) && sessionState() == State.ESTABLISHED);
+            onLoop(() -> {
                 speaker.remove("router");
                 return null;
             });
-            await("still there", () -> !peer.established());
+            await("session not ended", () -> !peer.established());
         }
         assertEquals(List.of(), peer.faults());
         assertTrue(peer.notifications().stream().filter(n -> n.equals("6/3")).count() >= 5, peer.notifications().toString());
@@ -169,10 +172,10 @@
         return HexFormat.of().parseHex("ff".repeat(16) + "%04x%02x".formatted(19 + bytes.length, type) + HexFormat.of().formatHex(bytes));
     }
 
-    /** RFC 4271, 6.1, 6.3 and 6.6, in Established; each session begins anew after it. */
+    /** Errors in Established (RFC 4271, 6.1, 6.3 and 6.6); the session is started again after each. */
     @Test
-    void whatIsNoMessageIsToldAndTheSessionBeginsAnew() throws Exception {
-        add(terms(peer, "router", 65002, 100));
+    void invalidMessagesAreReportedAndTheSessionIsRestarted() throws Exception {
+        add(settings(peer, "router", 65002, 100));
         byte[] unmarked = message(4, "");
         unmarked[0] = 0;
         Map<String, byte[]> faults = new LinkedHashMap<>();
@@ -190,16 +193,16 @@
             int count = ++session;
             await("no session before " + fault.getKey(), () -> peer.sessions() == count && peer.established());
             peer.sendRaw(fault.getValue());
-            await("nothing told of " + fault.getKey(), () -> peer.notifications().size() == count);
+            await("no NOTIFICATION for " + fault.getKey(), () -> peer.notifications().size() == count);
             assertEquals(fault.getKey(), peer.notifications().get(count - 1));
         }
     }
 
-    /** RFC 4271, 6.2 and 6.6, before the session stands. */
+    /** Errors before the session is established (RFC 4271, 6.2 and 6.6). */
     @Test
-    void anOpenAtFaultAndMessagesOutOfPlaceAreTold() throws Exception {
+    void invalidOpensAndUnexpectedMessagesAreReported() throws Exception {
         peer.silent(true);
-        add(terms(peer, "router", 65002, 100));
+        add(settings(peer, "router", 65002, 100));
         Map<String, byte[]> faults = new LinkedHashMap<>();
         faults.put("2/0", message(1, "04 fdea 001e 0a000002 05"));
         faults.put("2/1", message(1, "03 fdea 001e 0a000002 00"));
@@ -212,42 +215,42 @@
             + HexFormat.of().formatHex(message(2, "0000 0000"))));
         int count = 0;
         for (Map.Entry<String, byte[]> fault : faults.entrySet()) {
-            int told = ++count;
-            await("no OPEN before " + fault.getKey(), () -> state() == State.OPEN_SENT && peer.opens() == told);
+            int expected = ++count;
+            await("no OPEN before " + fault.getKey(), () -> sessionState() == State.OPEN_SENT && peer.opens() == expected);
             peer.sendRaw(fault.getValue());
-            await("nothing told of " + fault.getKey(), () -> peer.notifications().size() == told);
-            assertEquals(fault.getKey(), peer.notifications().get(told - 1));
+            await("no NOTIFICATION for " + fault.getKey(), () -> peer.notifications().size() == expected);
+            assertEquals(fault.getKey(), peer.notifications().get(expected - 1));
         }
     }
 
-    /** RFC 4271, 6.5. */
+    /** Hold timer expiry (RFC 4271, 6.5). */
     @Test
-    void aPeerThatFallsSilentIsToldAfterTheHoldTime() throws Exception {
+    void aSilentPeerIsNotifiedWhenTheHoldTimeExpires() throws Exception {
         try (StandInBgpPeer brief = new StandInBgpPeer("127.0.0.1", 65002, 8, 3)) {
-            add(terms(brief, "brief", 65002, 100));
+            add(settings(brief, "brief", 65002, 100));
             await("no session", brief::established);
             brief.silent(true);
             long since = System.nanoTime();
-            await("not told", () -> brief.notifications().contains("4/0"));
-            assertTrue(System.nanoTime() - since >= 1_500 * MS, "no sooner than the hold time allows");
+            await("no NOTIFICATION", () -> brief.notifications().contains("4/0"));
+            assertTrue(System.nanoTime() - since >= 1_500 * MS, "not before the hold time");
         }
     }
 
     @Test
-    void aPeerOfAnotherAsIsRefusedAndOneThatIsSilentTakesNothingAlong() throws Exception {
-        add(terms(peer, "router", 65009, 100));
+    void aPeerOfAnotherAsIsRefusedAndASilentPeerDoesNotAffectOthers() throws Exception {
+        add(settings(peer, "router", 65009, 100));
         await("not refused", () -> peer.notifications().contains("2/2"));
         peer.silent(true);
         try (StandInBgpPeer sound = new StandInBgpPeer("127.0.0.1", 65002, 7, 30)) {
-            add(terms(sound, "sound", 65002, 100));
-            stands(UP);
+            add(settings(sound, "sound", 65002, 100));
+            updateStatus(UP);
             await("not announced", () -> sound.table().containsKey(ADDRESS));
         }
     }
 
     @Test
-    void aPeerThatAnnouncesTooMuchIsLeftAndCostsNoMemory() throws Exception {
-        add(terms(peer, "router", 65002, 1_000));
+    void aPeerThatExceedsTheMaximumPrefixesIsDisconnected() throws Exception {
+        add(settings(peer, "router", 65002, 1_000));
         await("no session", peer::established);
         StringBuilder update = new StringBuilder("0000 0014 40010100 400206 0201 0000fdea 4003040a000002");
         for (int i = 0; i < 200; i++) {
@@ -258,34 +261,34 @@
                 peer.send(2, update.toString());
             }
         } catch (java.io.IOException e) {
-            // It has been left.
+            // The speaker has closed the connection.
         }
-        await("not left", () -> peer.notifications().contains("6/1"));
-        assertTrue(on(() -> speaker.status().get(0).receivedPrefixes()) < 2_000);
+        await("not disconnected", () -> peer.notifications().contains("6/1"));
+        assertTrue(onLoop(() -> speaker.status().get(0).receivedPrefixes()) < 2_000);
     }
 
     @Test
-    void aRefreshIsAnsweredWithAllThatHolds() throws Exception {
-        add(terms(peer, "router", 65002, 100));
-        stands(UP);
+    void aRouteRefreshResendsTheCurrentRoutes() throws Exception {
+        add(settings(peer, "router", 65002, 100));
+        updateStatus(UP);
         await("not announced", () -> peer.changes().size() == 1);
         peer.send(5, "0001 00 01");
-        await("not told again", () -> peer.changes().size() == 2);
+        await("not announced again", () -> peer.changes().size() == 2);
         assertEquals(List.of(), peer.faults());
     }
 
     @Test
-    void theEndIsToldToAllPeersInOrder() throws Exception {
+    void stopNotifiesAllPeers() throws Exception {
         try (StandInBgpPeer second = new StandInBgpPeer("127.0.0.1", 65003, 9, 30)) {
-            add(terms(peer, "one", 65002, 100));
-            add(terms(second, "two", 65003, 100));
+            add(settings(peer, "one", 65002, 100));
+            add(settings(second, "two", 65003, 100));
             await("no sessions", () -> peer.established() && second.established());
             CountDownLatch done = new CountDownLatch(1);
-            on(() -> {
+            onLoop(() -> {
                 speaker.stop(new Notification(ErrorCode.SHUTDOWN), done::countDown);
                 return null;
             });
-            assertTrue(done.await(PATIENCE_S, TimeUnit.SECONDS));
+            assertTrue(done.await(TIMEOUT_S, TimeUnit.SECONDS));
             assertEquals(List.of("6/2"), peer.notifications());
             assertEquals(List.of("6/2"), second.notifications());
             assertFalse(peer.established());
