--- a/src/main/java/onyxpaddle/capacity/Reckoning.java
+++ b/src/main/java/onyxpaddle/capacity/CalculatedFigure.java
@@ -9,10 +9,10 @@
  * @param how the arithmetic, in words
  * @param budget what is allowed, in {@code unit}; NaN where none is given
  */
-record Reckoning(String what, String how, double value, String unit, double budget) {
+record CalculatedFigure(String what, String how, double value, String unit, double budget) {
 
     /** All of them. */
-    static List<Reckoning> all() {
+    static List<CalculatedFigure> all() {
         double whole = DesignSize.wholeListBytes();
         double nodeBytes = DesignSize.NODE_BYTES_PER_SECOND;
         return List.of(
@@ -22,7 +22,7 @@
             none("calls to the list service for one list that all watch", "920 nodes / 2 s of waiting",
                 DesignSize.NODES / DesignSize.WATCH_S, "calls/s"),
             none("the whole list", "920 lines x 150 B", whole, "B"),
-            new Reckoning("the whole list at a node's bytes a second", "138,000 B / 3,000 B/s, beside 8 s", whole / nodeBytes, "s",
+            new CalculatedFigure("the whole list at a node's bytes a second", "138,000 B / 3,000 B/s, beside 8 s", whole / nodeBytes, "s",
                 DesignSize.IN_FORCE_S),
             none("one service's list at a node's bytes a second", "920 / 57 lines x 150 B / 3,000 B/s",
                 DesignSize.serversAService() * DesignSize.LINE_BYTES / nodeBytes, "s"),
@@ -35,8 +35,8 @@
             none("what a request may have added in all", "9 deep x 0.36 ms", DesignSize.DEPTH * DesignSize.ADDED_MS, "ms"));
     }
 
-    private static Reckoning none(String what, String how, double value, String unit) {
-        return new Reckoning(what, how, value, unit, Double.NaN);
+    private static CalculatedFigure none(String what, String how, double value, String unit) {
+        return new CalculatedFigure(what, how, value, unit, Double.NaN);
     }
 
     /** Need divided by budget, as the page shows it; empty where no budget is given. */
--- a/src/main/java/onyxpaddle/capacity/CapacityPage.java
+++ b/src/main/java/onyxpaddle/capacity/CapacityPage.java
@@ -258,7 +258,7 @@
         line("Arithmetic from what is given; no run is behind these.");
         line("");
         table("What", "How", "Value", "Value / budget");
-        Reckoning.all().forEach(r -> cells(r.what(), r.how(), CapacityCell.number(r.value()) + " " + r.unit(), r.ratio()));
+        CalculatedFigure.all().forEach(r -> cells(r.what(), r.how(), CapacityCell.number(r.value()) + " " + r.unit(), r.ratio()));
     }
 
     private void sources() {
--- a/src/main/java/onyxpaddle/capacity/CapacityRender.java
+++ b/src/main/java/onyxpaddle/capacity/CapacityRenderer.java
@@ -9,8 +9,8 @@
 import onyxpaddle.config.Faults;
 
 /** Makes the page from files of figures. */
-public final class CapacityRender {
-    private CapacityRender() {
+public final class CapacityRenderer {
+    private CapacityRenderer() {
     }
 
     /**
--- a/src/main/java/onyxpaddle/command/CapacityCommand.java
+++ b/src/main/java/onyxpaddle/command/CapacityCommand.java
@@ -4,7 +4,7 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.concurrent.Callable;
-import onyxpaddle.capacity.CapacityRender;
+import onyxpaddle.capacity.CapacityRenderer;
 import onyxpaddle.config.Faults;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
@@ -37,7 +37,7 @@
             @Option(names = "--out", paramLabel = "FILE",
                 description = "writes the page there, whole or not at all; without it, it is printed") Path out) throws IOException {
         Faults faults = new Faults();
-        String page = CapacityRender.page(figures, machine, faults);
+        String page = CapacityRenderer.page(figures, machine, faults);
         if (page == null) {
             faults.list().forEach(spec.commandLine().getErr()::println);
             return FAULTS;
@@ -45,7 +45,7 @@
         if (out == null) {
             spec.commandLine().getOut().print(page);
         } else {
-            CapacityRender.write(out, page);
+            CapacityRenderer.write(out, page);
         }
         return 0;
     }
--- a/src/main/java/onyxpaddle/command/DrillCommand.java
+++ b/src/main/java/onyxpaddle/command/DrillCommand.java
@@ -44,7 +44,7 @@
             faults.list().forEach(spec.commandLine().getErr()::println);
             return FAULTS;
         }
-        try (DrillRun run = new DrillRun(seed == null ? drill : drill.seeded(seed), history)) {
+        try (DrillRun run = new DrillRun(seed == null ? drill : drill.withSeed(seed), history)) {
             DrillRun.Outcome outcome = run.play();
             PrintWriter out = spec.commandLine().getOut();
             out.print(outcome.table());
--- a/src/main/java/onyxpaddle/drill/Boxes.java
+++ b/src/main/java/onyxpaddle/drill/Boxes.java
@@ -7,8 +7,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.ConcurrentHashMap;
-import onyxpaddle.drill.Drill.BoxKind;
-import onyxpaddle.drill.Event.What;
+import onyxpaddle.drill.Drill.BoxSettings;
+import onyxpaddle.drill.Event.Type;
 import onyxpaddle.standin.ExecutionCounter;
 import onyxpaddle.standin.StandInServer;
 
@@ -32,20 +32,20 @@
                 .watcher(new StandInServer.Watcher() {
                     @Override
                     public void requestReceived(String effect, SocketAddress from) {
-                        history.add(What.CAME, "id", String.valueOf(effect), "box", name, "node", callers.getOrDefault(from, "unknown"));
+                        history.add(Type.CAME, "id", String.valueOf(effect), "box", name, "node", callers.getOrDefault(from, "unknown"));
                     }
 
                     @Override
                     public void requestExecuted(String effect) {
-                        history.add(What.RAN, "id", String.valueOf(effect), "box", name);
+                        history.add(Type.RAN, "id", String.valueOf(effect), "box", name);
                     }
                 });
-            history.add(What.BOX_STARTED, "box", name, "persecond", Double.toString(kind.perSecond()), "cold",
+            history.add(Type.BOX_STARTED, "box", name, "persecond", Double.toString(kind.perSecond()), "cold",
                 Long.toString(born == 0 ? 0 : kind.coldMs()), "from", Double.toString(kind.coldFrom()));
         }
     }
 
-    private final BoxKind kind;
+    private final BoxSettings kind;
     private final History history;
     private final ExecutionCounter ledger = new ExecutionCounter();
     private final Map<String, Box> all = new LinkedHashMap<>();
--- a/src/main/java/onyxpaddle/drill/Figures.java
+++ b/src/main/java/onyxpaddle/drill/ClientStatistics.java
@@ -9,31 +9,31 @@
 import onyxpaddle.drill.Drill.LoadClass;
 
 /** What clients got, by seconds of the load; a request counts in the second in which its first try came. */
-public final class Figures {
-    /** One second. Round trips in milliseconds, of what was served, sorted. */
-    public record Second(int offered, int served, int inAim, int refused, int failed, int turnedAway, double worthOffered, double worthServed,
-            double[] trips) {
+public final class ClientStatistics {
+    /** One second. Round latenciesMs in milliseconds, of what was served, sorted. */
+    public record Interval(int offered, int served, int withinAim, int refused, int failed, int turnedAway, double worthOffered, double worthServed,
+            double[] latenciesMs) {
         /** In milliseconds; not a number where nothing was served. */
         public double quantile(double q) {
-            return trips.length == 0 ? Double.NaN : trips[(int) Math.min(trips.length - 1, q * trips.length)];
+            return latenciesMs.length == 0 ? Double.NaN : latenciesMs[(int) Math.min(latenciesMs.length - 1, q * latenciesMs.length)];
         }
     }
 
     /** Of one class. {@code refused}: tries, so that a client that comes again counts again. */
-    public record OfClass(int offered, int inAim, int refused) {
+    public record ClassTotals(int offered, int withinAim, int refused) {
     }
 
     private static final class Counts {
         final Map<String, int[]> byClass = new HashMap<>();
         int offered;
         int served;
-        int inAim;
+        int withinAim;
         int refused;
         int failed;
         int turnedAway;
         double worthOffered;
         double worthServed;
-        double[] trips = new double[64];
+        double[] latenciesMs = new double[64];
 
         int[] of(LoadClass c) {
             return byClass.computeIfAbsent(c.name(), name -> new int[3]);
@@ -71,12 +71,12 @@
         Counts then = at(firstAt);
         if (status == 200) {
             double ms = (System.nanoTime() - firstAt) / 1e6;
-            if (then.served == then.trips.length) {
-                then.trips = Arrays.copyOf(then.trips, 2 * then.served);
+            if (then.served == then.latenciesMs.length) {
+                then.latenciesMs = Arrays.copyOf(then.latenciesMs, 2 * then.served);
             }
-            then.trips[then.served++] = ms;
+            then.latenciesMs[then.served++] = ms;
             if (ms <= of.aimMs()) {
-                then.inAim++;
+                then.withinAim++;
                 then.worthServed += of.worth();
                 then.of(of)[1]++;
             }
@@ -89,7 +89,7 @@
     }
 
     /** A class in the seconds from {@code from} on, up to {@code to}. */
-    public synchronized OfClass ofClass(String name, int from, int to) {
+    public synchronized ClassTotals classTotals(String name, int from, int to) {
         int[] sum = new int[3];
         for (Counts c : seconds.subList(Math.min(from, seconds.size()), Math.min(to, seconds.size()))) {
             int[] of = c.byClass.getOrDefault(name, new int[3]);
@@ -97,27 +97,27 @@
                 sum[i] += of[i];
             }
         }
-        return new OfClass(sum[0], sum[1], sum[2]);
+        return new ClassTotals(sum[0], sum[1], sum[2]);
     }
 
     /** The seconds from {@code from} on, up to {@code to}, as one. */
-    public synchronized Second between(int from, int to) {
+    public synchronized Interval between(int from, int to) {
         Counts all = new Counts();
-        double[] trips = {};
+        double[] latenciesMs = {};
         for (Counts c : seconds.subList(Math.min(from, seconds.size()), Math.min(to, seconds.size()))) {
             all.offered += c.offered;
-            all.inAim += c.inAim;
+            all.withinAim += c.withinAim;
             all.refused += c.refused;
             all.failed += c.failed;
             all.turnedAway += c.turnedAway;
             all.worthOffered += c.worthOffered;
             all.worthServed += c.worthServed;
-            int before = trips.length;
-            trips = Arrays.copyOf(trips, before + c.served);
-            System.arraycopy(c.trips, 0, trips, before, c.served);
+            int before = latenciesMs.length;
+            latenciesMs = Arrays.copyOf(latenciesMs, before + c.served);
+            System.arraycopy(c.latenciesMs, 0, latenciesMs, before, c.served);
         }
-        Arrays.sort(trips);
-        return new Second(all.offered, trips.length, all.inAim, all.refused, all.failed, all.turnedAway, all.worthOffered, all.worthServed, trips);
+        Arrays.sort(latenciesMs);
+        return new Interval(all.offered, latenciesMs.length, all.withinAim, all.refused, all.failed, all.turnedAway, all.worthOffered, all.worthServed, latenciesMs);
     }
 
     /** A table, a line a second. */
@@ -128,9 +128,9 @@
             count = seconds.size();
         }
         for (int i = 0; i <= count; i++) {
-            Second s = i < count ? between(i, i + 1) : between(0, count);
+            Interval s = i < count ? between(i, i + 1) : between(0, count);
             text.append(String.format(Locale.ROOT, "%4s %7d %7d %7d %7d %7d %7d %8.1f %8.1f %6.1f%%%n", i < count ? Integer.toString(i) : "all",
-                s.offered(), s.served(), s.inAim(), s.refused(), s.failed(), s.turnedAway(), s.quantile(0.5), s.quantile(0.99),
+                s.offered(), s.served(), s.withinAim(), s.refused(), s.failed(), s.turnedAway(), s.quantile(0.5), s.quantile(0.99),
                 100 * s.worthServed() / Math.max(1e-9, s.worthOffered())));
         }
         return text.toString();
--- a/src/main/java/onyxpaddle/drill/Drill.java
+++ b/src/main/java/onyxpaddle/drill/Drill.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 
 /** What a drill plays: sites with nodes and boxes, the load, and a schedule of faults. Times in milliseconds from the load's begin. */
-public record Drill(String name, long seed, long lastsMs, Map<String, Site> sites, BoxKind boxes, NodeKind nodes,
-        Lists lists, List<LoadClass> load, List<Fault> faults) {
+public record Drill(String name, long seed, long durationMs, Map<String, Site> sites, BoxSettings boxes, NodeSettings nodes,
+        ListDelays lists, List<LoadClass> load, List<Fault> faults) {
     /** How many node processes and boxes a site has, and its part of the load. */
     public record Site(int nodes, int boxes, double share) {
     }
@@ -18,7 +18,7 @@
      * @param coldMs how long a box that has started counts as cold
      * @param coldFrom the part of its capacity that it has at its start
      */
-    public record BoxKind(int atOnce, long takesMs, long jitterMs, int queue, boolean drops, long coldMs, double coldFrom) {
+    public record BoxSettings(int atOnce, long takesMs, long jitterMs, int queue, boolean drops, long coldMs, double coldFrom) {
         /** Requests a second of a warm box. */
         double perSecond() {
             return atOnce * 1000.0 / (takesMs + jitterMs / 2.0);
@@ -31,11 +31,11 @@
      * @param secondCopies whether a safe request that overstays may be sent once more
      * @param plan whether they have a plan for the loss of sites, made from what the drill says of sites, boxes and load
      */
-    public record NodeKind(int attempts, boolean secondCopies, long drainGraceMs, double coldMultiple, long coldWindowMs, boolean plan) {
+    public record NodeSettings(int attempts, boolean secondCopies, long drainGraceMs, double coldMultiple, long coldWindowMs, boolean plan) {
     }
 
     /** How long lists stay behind what happens: {@code lostMs} for a box that is lost, {@code backMs} for one that is back. */
-    public record Lists(long lostMs, long backMs) {
+    public record ListDelays(long lostMs, long backMs) {
     }
 
     /**
@@ -75,7 +75,7 @@
         RESTART("box"),
         /** Times the load for a while. */
         PUSH("load"),
-        /** Lists stand still, and tell all at once afterwards. */
+        /** ListDelays stand still, and tell all at once afterwards. */
         HUSH("lists");
 
         /** What it hits, as the file's key. */
@@ -130,20 +130,20 @@
     }
 
     /** As it is, with a plan for the loss of sites in its nodes, or without. */
-    public Drill planned(boolean plan) {
-        return new Drill(name, seed, lastsMs, sites, boxes, new NodeKind(nodes.attempts(), nodes.secondCopies(), nodes.drainGraceMs(), nodes.coldMultiple(),
+    public Drill withPlan(boolean plan) {
+        return new Drill(name, seed, durationMs, sites, boxes, new NodeSettings(nodes.attempts(), nodes.secondCopies(), nodes.drainGraceMs(), nodes.coldMultiple(),
             nodes.coldWindowMs(), plan), lists, load, faults);
     }
 
     /** As it is, with clients that try again so often. */
-    public Drill retrying(int retries) {
-        return new Drill(name, seed, lastsMs, sites, boxes, nodes, lists, load.stream().map(c -> new LoadClass(c.name(), c.effect(), c.perSecond(), c.aimMs(),
+    public Drill withRetries(int retries) {
+        return new Drill(name, seed, durationMs, sites, boxes, nodes, lists, load.stream().map(c -> new LoadClass(c.name(), c.effect(), c.perSecond(), c.aimMs(),
             c.deadlineMs(), c.worth(), retries, c.floor())).toList(), faults);
     }
 
     /** As it is, with another seed. */
-    public Drill seeded(long other) {
-        return new Drill(name, other, lastsMs, sites, boxes, nodes, lists, load, faults);
+    public Drill withSeed(long other) {
+        return new Drill(name, other, durationMs, sites, boxes, nodes, lists, load, faults);
     }
 
     /** The sites by name, in the order that numbers them. */
--- a/src/main/java/onyxpaddle/drill/DrillReader.java
+++ b/src/main/java/onyxpaddle/drill/DrillReader.java
@@ -24,13 +24,13 @@
 import onyxpaddle.config.SourceFile;
 import onyxpaddle.config.Value;
 import onyxpaddle.config.ConfigView;
-import onyxpaddle.drill.Drill.BoxKind;
+import onyxpaddle.drill.Drill.BoxSettings;
 import onyxpaddle.drill.Drill.Cut;
 import onyxpaddle.drill.Drill.Effect;
 import onyxpaddle.drill.Drill.Fault;
-import onyxpaddle.drill.Drill.Lists;
+import onyxpaddle.drill.Drill.ListDelays;
 import onyxpaddle.drill.Drill.LoadClass;
-import onyxpaddle.drill.Drill.NodeKind;
+import onyxpaddle.drill.Drill.NodeSettings;
 import onyxpaddle.drill.Drill.Site;
 
 /** Reads the file of a drill, and finds all that is wrong with it. */
@@ -144,11 +144,11 @@
         List<Fault> all = new ArrayList<>();
         root.items("faults").forEach(view -> all.add(fault(view, sites)));
         return new Drill(root.text("name", Kind.NAME, ""), root.count("seed", 1), ms(root, "lasts", 10_000), sites,
-            new BoxKind(boxes.count("at-once", 4), ms(boxes, "takes", 10), ms(boxes, "jitter", 0), boxes.count("queue", 50), boxes.flag("drops", true),
+            new BoxSettings(boxes.count("at-once", 4), ms(boxes, "takes", 10), ms(boxes, "jitter", 0), boxes.count("queue", 50), boxes.flag("drops", true),
                 ms(boxes, "cold", 0), boxes.number("cold-from", 0.3)),
-            new NodeKind(nodes.count("attempts", 3), nodes.flag("second-copies", true), ms(nodes, "drain-grace", 2_000),
+            new NodeSettings(nodes.count("attempts", 3), nodes.flag("second-copies", true), ms(nodes, "drain-grace", 2_000),
                 nodes.number("cold-multiple", 3), ms(nodes, "cold-window", 2_000), nodes.flag("plan", false)),
-            new Lists(ms(lists, "lost", 2_000), ms(lists, "back", 1_000)), load, all.stream().filter(f -> f != null).toList());
+            new ListDelays(ms(lists, "lost", 2_000), ms(lists, "back", 1_000)), load, all.stream().filter(f -> f != null).toList());
     }
 
     private LoadClass loadClass(ConfigView view, List<LoadClass> before) {
--- a/src/main/java/onyxpaddle/drill/DrillRun.java
+++ b/src/main/java/onyxpaddle/drill/DrillRun.java
@@ -26,7 +26,7 @@
 import java.util.stream.Stream;
 import onyxpaddle.drill.Drill.Cut;
 import onyxpaddle.drill.Drill.Fault;
-import onyxpaddle.drill.Event.What;
+import onyxpaddle.drill.Event.Type;
 
 /** Plays a drill: starts the processes, the boxes, the lists and the links, then the load and the faults, and writes the history. */
 public final class DrillRun implements AutoCloseable {
@@ -36,7 +36,7 @@
     private static final long WARM_EVERY_MS = 100;
 
     /** What came of a drill; {@code logs}: what each node wrote, all its processes one after the other. */
-    public record Outcome(HistoryCheck.Verdict verdict, Figures figures, String table, Map<String, Double> cpuSeconds, Map<String, String> logs) {
+    public record Outcome(HistoryCheck.Verdict verdict, ClientStatistics figures, String table, Map<String, Double> cpuSeconds, Map<String, String> logs) {
         public Outcome {
             logs = Map.copyOf(logs);
             cpuSeconds = Map.copyOf(cpuSeconds);
@@ -55,8 +55,8 @@
     });
     private final Boxes boxes;
     private final ListService lists;
-    private final Callers callers;
-    private final Figures figures = new Figures();
+    private final LoadGenerator callers;
+    private final ClientStatistics figures = new ClientStatistics();
     private final Map<String, Link> between = new HashMap<>();
     private final Map<String, List<Relay>> ways = new HashMap<>();
     /** What every node's environment says besides. */
@@ -73,12 +73,12 @@
     public DrillRun(Drill drill, Path file) throws Exception {
         this.drill = drill;
         this.history = new History(file);
-        history.add(What.DRILL, "name", drill.name(), "seed", Long.toString(drill.seed()), "latest", Long.toString(latest()),
+        history.add(Type.DRILL, "name", drill.name(), "seed", Long.toString(drill.seed()), "latest", Long.toString(latest()),
             "drain-grace", Long.toString(drill.nodes().drainGraceMs()), "cold-multiple", Double.toString(drill.nodes().coldMultiple()),
             "cold-window", Long.toString(drill.nodes().coldWindowMs()));
         this.boxes = new Boxes(drill, history);
         this.lists = new ListService(history);
-        this.callers = new Callers(drill, history, figures, clients.next());
+        this.callers = new LoadGenerator(drill, history, figures, clients.next());
     }
 
     /** How much later than it set out a request may come to a box, by what the drill does to links and boxes. */
@@ -86,7 +86,7 @@
         long latest = 0;
         for (Fault f : drill.faults()) {
             boolean holds = f.cut() == Cut.SILENT || f.cut() == Cut.ONE_WAY || f.kind() == Drill.Kind.FREEZE || f.kind() == Drill.Kind.LOSE;
-            latest = Math.max(latest, holds ? f.forMs() : f.cut() == Cut.DELAYED ? (long) (1.5 * f.size()) : f.cut() == Cut.SLOW ? drill.lastsMs() : 0);
+            latest = Math.max(latest, holds ? f.forMs() : f.cut() == Cut.DELAYED ? (long) (1.5 * f.size()) : f.cut() == Cut.SLOW ? drill.durationMs() : 0);
         }
         return latest;
     }
@@ -97,13 +97,13 @@
         schedule.scheduleWithFixedDelay(boxes::warm, WARM_EVERY_MS, WARM_EVERY_MS, TimeUnit.MILLISECONDS);
         Map<Long, List<Fault>> waiting = drill.faults().stream().collect(Collectors.groupingBy(Fault::afterServed));
         history.watch(event -> {
-            if (event.what() == What.ANSWERED && event.get("status").equals("200")) {
+            if (event.type() == Type.ANSWERED && event.get("status").equals("200")) {
                 waiting.getOrDefault(served.incrementAndGet(), List.of()).forEach(this::plan);
             }
         });
         Future<Void> load = callers.play();
         waiting.getOrDefault(0L, List.of()).forEach(this::plan);
-        long most = drill.lastsMs() + LONGEST_AFTER_MS;
+        long most = drill.durationMs() + LONGEST_AFTER_MS;
         try {
             load.get(most, TimeUnit.MILLISECONDS);
         } catch (TimeoutException e) {
@@ -119,13 +119,13 @@
             // A drill whose faults did not happen proves nothing.
             throw new IOException(drill.faults().size() - begun.get() + " faults never began, as only " + served.get() + " requests were served");
         }
-        history.add(What.HEALED);
+        history.add(Type.HEALED);
         for (Map.Entry<String, ServeProcess> p : processes.entrySet()) {
             if (!p.getValue().call("GET /ready").startsWith("HTTP/1.1 200")) {
                 throw new IOException(p.getKey() + " does not say that it is ready, though all is healed: " + p.getValue().log());
             }
         }
-        history.add(What.END);
+        history.add(Type.END);
         Map<String, Double> cpu = new HashMap<>();
         Map<String, String> logs = new HashMap<>();
         for (Map.Entry<String, ServeProcess> p : processes.entrySet()) {
@@ -157,7 +157,7 @@
             String known = lists.known(there);
             var discovery = lists.door(name, there);
             Path config = folder.resolve(name.replace('/', '-') + ".json");
-            Files.writeString(config, config(name, names, ServeProcess.text(listen), ServeProcess.text(discovery), known));
+            Files.writeString(config, config(name, names, ServeProcess.hostPort(listen), ServeProcess.hostPort(discovery), known));
             configs.put(name, config);
             callers.door(name, listen);
         }
@@ -210,7 +210,7 @@
             ServeProcess process = ServeProcess.start(configs.get(name), temporary, folder.resolve(name.replace('/', '-') + ".log"), told);
             processes.put(name, process);
             process.awaitReady();
-            history.add(What.NODE, "node", name, "state", "ready");
+            history.add(Type.NODE, "node", name, "state", "ready");
             back(name);
         } catch (IOException | InterruptedException e) {
             failed.compareAndSet(null, e);
@@ -239,11 +239,11 @@
     private void plan(Fault fault) {
         after(fault.atMs(), () -> {
             begun.incrementAndGet();
-            history.add(What.FAULT, "fault", fault.toString(), "state", "begins");
+            history.add(Type.FAULT, "fault", fault.toString(), "state", "begins");
             begin(fault);
             after(fault.forMs(), () -> {
                 end(fault);
-                history.add(What.FAULT, "fault", fault.toString(), "state", "ends");
+                history.add(Type.FAULT, "fault", fault.toString(), "state", "ends");
             });
         });
     }
@@ -254,7 +254,7 @@
             case KILL -> kill(target);
             case STOP -> {
                 processes.get(target).signal("STOP");
-                history.add(What.NODE, "node", target, "state", "stopped");
+                history.add(Type.NODE, "node", target, "state", "stopped");
                 frontNotices(target);
             }
             case LOSE -> {
@@ -289,7 +289,7 @@
         switch (fault.kind()) {
             case KILL -> start(target);
             case STOP -> {
-                history.add(What.NODE, "node", target, "state", "continued");
+                history.add(Type.NODE, "node", target, "state", "continued");
                 processes.get(target).signal("CONT");
                 back(target);
             }
@@ -333,7 +333,7 @@
 
     private void kill(String node) throws InterruptedException {
         // Written before it is done: what the node has open may end at once.
-        history.add(What.NODE, "node", node, "state", "killed");
+        history.add(Type.NODE, "node", node, "state", "killed");
         processes.get(node).kill();
         frontNotices(node);
     }
--- a/src/main/java/onyxpaddle/drill/Event.java
+++ b/src/main/java/onyxpaddle/drill/Event.java
@@ -7,12 +7,12 @@
  *
  * @param n the count of lines, which grows by one: what was seen before has the lower one
  * @param ms since the drill's begin, by the clock of the process that plays it
- * @param what happened: see {@link What}
+ * @param type see {@link Type}
  * @param more about it, by name
  */
-public record Event(long n, long ms, What what, Map<String, String> more) {
+public record Event(long n, long ms, Type type, Map<String, String> more) {
     /** What can happen. */
-    public enum What {
+    public enum Type {
         /** The first line: what the drill promises its processes, from which the checks take their bounds. */
         DRILL,
         /** A client has written a request's last byte to a connection that a node accepted: {@code id, class, effect, node, deadline}. */
@@ -58,6 +58,6 @@
 
     @Override
     public String toString() {
-        return n + " " + ms + " ms " + what.name().toLowerCase(java.util.Locale.ROOT) + " " + new java.util.TreeMap<>(more);
+        return n + " " + ms + " ms " + type.name().toLowerCase(java.util.Locale.ROOT) + " " + new java.util.TreeMap<>(more);
     }
 }
--- a/src/main/java/onyxpaddle/drill/History.java
+++ b/src/main/java/onyxpaddle/drill/History.java
@@ -18,7 +18,7 @@
 import java.util.Map;
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.function.Consumer;
-import onyxpaddle.drill.Event.What;
+import onyxpaddle.drill.Event.Type;
 
 /** All that happened in a drill, in the order in which the drill saw it; a file of one JSON object a line. */
 public final class History implements AutoCloseable {
@@ -42,7 +42,7 @@
     }
 
     /** Writes an event down; {@code more}: names and values in turn. */
-    void add(What what, String... more) {
+    void add(Type type, String... more) {
         Map<String, String> pairs = new HashMap<>();
         for (int i = 0; i < more.length; i += 2) {
             pairs.put(more[i], more[i + 1]);
@@ -52,7 +52,7 @@
             if (events.size() >= MOST) {
                 throw new IllegalStateException("a history holds " + MOST + " events at most: a shorter drill, or less load");
             }
-            event = new Event(events.size() + 1, (System.nanoTime() - begin) / 1_000_000, what, pairs);
+            event = new Event(events.size() + 1, (System.nanoTime() - begin) / 1_000_000, type, pairs);
             events.add(event);
             if (file != null) {
                 write(event);
@@ -67,7 +67,7 @@
             json.writeStartObject();
             json.writeNumberField("n", event.n());
             json.writeNumberField("ms", event.ms());
-            json.writeStringField("what", event.what().name().toLowerCase(Locale.ROOT));
+            json.writeStringField("what", event.type().name().toLowerCase(Locale.ROOT));
             for (Map.Entry<String, String> pair : new java.util.TreeMap<>(event.more()).entrySet()) {
                 json.writeStringField(pair.getKey(), pair.getValue());
             }
@@ -136,6 +136,6 @@
         }
         long n = Long.parseLong(pairs.remove("n"));
         long ms = Long.parseLong(pairs.remove("ms"));
-        return new Event(n, ms, What.valueOf(pairs.remove("what").toUpperCase(Locale.ROOT)), pairs);
+        return new Event(n, ms, Type.valueOf(pairs.remove("what").toUpperCase(Locale.ROOT)), pairs);
     }
 }
--- a/src/main/java/onyxpaddle/drill/HistoryCheck.java
+++ b/src/main/java/onyxpaddle/drill/HistoryCheck.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import onyxpaddle.drill.Event.What;
+import onyxpaddle.drill.Event.Type;
 
 /**
  * Judges a history by the four rules, over all processes together. It goes by causes and by the order of lines; where an interval is
@@ -65,7 +65,7 @@
     }
 
     private Verdict all() {
-        if (events.isEmpty() || events.get(0).what() != What.DRILL || events.get(events.size() - 1).what() != What.END) {
+        if (events.isEmpty() || events.get(0).type() != Type.DRILL || events.get(events.size() - 1).type() != Type.END) {
             breach("whole", "the history has no begin or no end: the drill broke off", events.subList(Math.max(0, events.size() - 3), events.size()));
         } else {
             Event begin = events.get(0);
@@ -75,7 +75,7 @@
             window = begin.number("cold-window");
         }
         for (Event e : events) {
-            if (e.what() == What.NODE) {
+            if (e.type() == Type.NODE) {
                 nodes.computeIfAbsent(e.get("node"), n -> new ArrayList<>()).add(e);
             }
             if (!e.get("id").isEmpty()) {
@@ -100,7 +100,7 @@
         if (r.lines.size() < 20) {
             r.lines.add(e);
         }
-        switch (e.what()) {
+        switch (e.type()) {
             case SENT -> r.sent = e;
             case ANSWERED -> r.answers.add(e);
             case BROKEN, UNANSWERED -> r.ended = e;
@@ -131,7 +131,7 @@
         }
         // A process that was killed answers nothing. One that stood still may come after its client has left, but never lets go of what it took.
         long until = r.ended == null ? Long.MAX_VALUE : r.ended.ms();
-        Set<String> excuses = r.ended != null && r.ended.what() == What.UNANSWERED ? Set.of("killed", "stopped", "continued") : Set.of("killed");
+        Set<String> excuses = r.ended != null && r.ended.type() == Type.UNANSWERED ? Set.of("killed", "stopped", "continued") : Set.of("killed");
         boolean hit = nodes.getOrDefault(r.sent.get("node"), List.of()).stream().anyMatch(e ->
             excuses.contains(e.get("state")) && e.ms() >= r.sent.ms() - WRITING_MS && e.ms() <= until + WRITING_MS);
         if (!hit) {
@@ -157,16 +157,16 @@
         Map<String, Long> awake = new HashMap<>();
         for (Event e : events) {
             String key = e.get("node") + " " + e.get("box");
-            if (e.what() == What.TOLD) {
+            if (e.type() == Type.TOLD) {
                 if (e.get("state").equals("ready")) {
                     leaving.remove(key);
                 } else {
                     leaving.putIfAbsent(key, e);
                 }
-            } else if (e.what() == What.NODE && !e.get("state").equals("stopped")) {
+            } else if (e.type() == Type.NODE && !e.get("state").equals("stopped")) {
                 // One that stood still, or has just started, was told when it could read.
                 awake.put(e.get("node"), e.ms());
-            } else if (e.what() == What.CAME && leaving.containsKey(key)) {
+            } else if (e.type() == Type.CAME && leaving.containsKey(key)) {
                 Event told = leaving.get(key);
                 long from = Math.max(told.ms(), awake.getOrDefault(e.get("node"), 0L));
                 if (e.ms() > from + drainGrace + late) {
@@ -183,10 +183,10 @@
         Map<String, List<Event>> came = new HashMap<>();
         for (Event e : events) {
             String box = e.get("box");
-            if (e.what() == What.BOX_STARTED) {
+            if (e.type() == Type.BOX_STARTED) {
                 started.put(box, e);
                 came.remove(box);
-            } else if (e.what() == What.CAME && started.containsKey(box)) {
+            } else if (e.type() == Type.CAME && started.containsKey(box)) {
                 Event start = started.get(box);
                 if (e.ms() - start.ms() <= start.number("cold")) {
                     List<Event> sends = came.computeIfAbsent(box, b -> new ArrayList<>());
--- a/src/main/java/onyxpaddle/drill/Link.java
+++ b/src/main/java/onyxpaddle/drill/Link.java
@@ -18,13 +18,13 @@
     }
 
     /** Whether bytes of that direction are held back now. */
-    public boolean holds(boolean toBox) {
+    public boolean holdsBack(boolean toBox) {
         Cut now = cut;
         return now == Cut.SILENT || now == Cut.SILENT_THEN_RESET || now == Cut.ONE_WAY && toBox;
     }
 
     /** Whether connections are refused now. */
-    public boolean refuses() {
+    public boolean refusesConnections() {
         return cut == Cut.REFUSED;
     }
 
@@ -34,7 +34,7 @@
     }
 
     /** How long so many bytes take, in nanoseconds; asked once for each piece that comes, in either direction. */
-    public long takes(int bytes) {
+    public long transmissionNs(int bytes) {
         return cut != Cut.SLOW ? 0 : (long) (bytes / (size * 1024) * 1e9);
     }
 }
--- a/src/main/java/onyxpaddle/drill/ListService.java
+++ b/src/main/java/onyxpaddle/drill/ListService.java
@@ -12,7 +12,7 @@
 import java.util.Map;
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
-import onyxpaddle.drill.Event.What;
+import onyxpaddle.drill.Event.Type;
 
 /**
  * The lists of servers that nodes are told: the platform's discovery by its protocol, an address for each node, as the way to
@@ -90,7 +90,7 @@
         exchange.sendResponseHeaders(200, bytes.length);
         exchange.getResponseBody().write(bytes);
         exchange.close();
-        told.forEach((box, line) -> history.add(What.TOLD, "node", node, "box", box, "state", line.state()));
+        told.forEach((box, line) -> history.add(Type.TOLD, "node", node, "box", box, "state", line.state()));
     }
 
     private static String hosts(Map<String, Line> told, Map<String, String> ways) {
@@ -115,7 +115,7 @@
         notifyAll();
     }
 
-    /** Lists stand still, or tell again. */
+    /** ListDelays stand still, or tell again. */
     synchronized void hush(boolean on) {
         hushed = on;
         notifyAll();
--- a/src/main/java/onyxpaddle/drill/Callers.java
+++ b/src/main/java/onyxpaddle/drill/LoadGenerator.java
@@ -32,13 +32,13 @@
 import java.util.stream.Collectors;
 import onyxpaddle.drill.Drill.Effect;
 import onyxpaddle.drill.Drill.LoadClass;
-import onyxpaddle.drill.Event.What;
+import onyxpaddle.drill.Event.Type;
 
 /**
  * Clients of all sites: an open load, which does not wait for answers, through a front that deals requests out among the
  * nodes of a site and after a while notices those that are dead. Everything happens on one loop.
  */
-final class Callers {
+final class LoadGenerator {
     private static final long AGENDA_MS = 1;
     /** A connection that has stood idle for longer is not used again: a node may be about to close it. */
     private static final long FRESH_NS = 3_000_000_000L;
@@ -96,7 +96,7 @@
 
     private final Drill drill;
     private final History history;
-    private final Figures figures;
+    private final ClientStatistics figures;
     private final EventLoop loop;
     private final SplittableRandom random;
     private final List<Door> doors = new ArrayList<>();
@@ -108,7 +108,7 @@
     private long until;
     private long ticked = System.nanoTime();
 
-    Callers(Drill drill, History history, Figures figures, EventLoop loop) {
+    LoadGenerator(Drill drill, History history, ClientStatistics figures, EventLoop loop) {
         this.drill = drill;
         this.history = history;
         this.figures = figures;
@@ -145,7 +145,7 @@
         CompletableFuture<Void> over = new CompletableFuture<>();
         loop.execute(() -> {
             begun = System.nanoTime();
-            until = begun + drill.lastsMs() * 1_000_000;
+            until = begun + drill.durationMs() * 1_000_000;
             figures.begin(begun);
             drill.load().forEach(of -> next(of, begun));
             tick(over);
@@ -240,7 +240,7 @@
             t.over = true;
             open--;
             figures.turnedAway();
-            history.add(What.TURNED_AWAY, "id", t.id, "node", t.door.name);
+            history.add(Type.TURNED_AWAY, "id", t.id, "node", t.door.name);
             again(t, 0);
         }
     }
@@ -258,7 +258,7 @@
         channel.writeAndFlush(request).addListener(written -> {
             if (written.isSuccess()) {
                 t.sent = true;
-                history.add(What.SENT, "id", t.id, "class", t.of.name(), "effect", t.of.effect().name().toLowerCase(java.util.Locale.ROOT),
+                history.add(Type.SENT, "id", t.id, "class", t.of.name(), "effect", t.of.effect().name().toLowerCase(java.util.Locale.ROOT),
                     "node", t.door.name, "deadline", Long.toString(t.of.deadlineMs()));
             } else {
                 channel.close();
@@ -269,7 +269,7 @@
             if (!t.over) {
                 t.over = true;
                 open--;
-                history.add(What.UNANSWERED, "id", t.id);
+                history.add(Type.UNANSWERED, "id", t.id);
                 figures.ended(t.of, t.firstAt, 0);
                 channel.close();
             }
@@ -301,7 +301,7 @@
             int status = answer.status().code();
             String body = answer.content().toString(StandardCharsets.US_ASCII);
             String by = status == 200 && body.indexOf(' ') > 0 ? body.substring(0, body.indexOf(' ')) : "";
-            history.add(What.ANSWERED, "id", t.id, "status", Integer.toString(status), "by", by);
+            history.add(Type.ANSWERED, "id", t.id, "status", Integer.toString(status), "by", by);
             figures.ended(t.of, t.firstAt, status);
             if (HttpUtil.isKeepAlive(answer) && t.door.up) {
                 t.door.idle.add(new Idle(context.channel(), System.nanoTime()));
@@ -324,7 +324,7 @@
                 }
                 t.over = true;
                 open--;
-                history.add(What.BROKEN, "id", t.id);
+                history.add(Type.BROKEN, "id", t.id);
                 figures.ended(t.of, t.firstAt, 0);
             }
         }
--- a/src/main/java/onyxpaddle/drill/Relay.java
+++ b/src/main/java/onyxpaddle/drill/Relay.java
@@ -26,7 +26,7 @@
  * The way from one node to one box, on a port of its own: passes bytes on as its {@link Link} has it. What is held is kept in
  * order, up to a bound from which on it is no longer read, and so is the news of a close. Everything of a relay happens on one loop.
  *
- * <p>A silent link takes new connections all the same, as loopback can't be made to drop their first packet: to a node they
+ * <p>A silent link transmissionNs new connections all the same, as loopback can't be made to drop their first packet: to a node they
  * come up and stay silent.
  */
 public final class Relay implements AutoCloseable {
@@ -75,7 +75,7 @@
 
     private void accepted(SocketChannel from) {
         InetSocketAddress to = box.get();
-        if (to == null || link.refuses()) {
+        if (to == null || link.refusesConnections()) {
             reset(from);
             return;
         }
@@ -141,7 +141,7 @@
         public void channelRead(ChannelHandlerContext context, Object message) {
             ByteBuf next = (ByteBuf) message;
             long now = System.nanoTime();
-            freeAt = Math.max(freeAt, now) + link.takes(next.readableBytes());
+            freeAt = Math.max(freeAt, now) + link.transmissionNs(next.readableBytes());
             held.add(next);
             due.add(Math.max(freeAt, now + link.delay()));
             bytes += next.readableBytes();
@@ -180,7 +180,7 @@
                 return;
             }
             boolean wrote = false;
-            while (!held.isEmpty() && !link.holds(toBox) && due.peek() <= System.nanoTime()) {
+            while (!held.isEmpty() && !link.holdsBack(toBox) && due.peek() <= System.nanoTime()) {
                 due.poll();
                 ByteBuf next = held.poll();
                 bytes -= next.readableBytes();
@@ -193,7 +193,7 @@
             if (bytes <= MOST_HELD && from.isActive()) {
                 from.config().setAutoRead(true);
             }
-            if (!held.isEmpty() || over && link.holds(toBox)) {
+            if (!held.isEmpty() || over && link.holdsBack(toBox)) {
                 lookAgain(from);
             } else if (over) {
                 to.close();
--- a/src/main/java/onyxpaddle/drill/ServeProcess.java
+++ b/src/main/java/onyxpaddle/drill/ServeProcess.java
@@ -66,7 +66,7 @@
         ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true).redirectOutput(log.toFile());
         builder.environment().keySet().removeIf(name -> name.startsWith("GW_"));
         builder.environment().put("GW_CONFIG", config.toString());
-        builder.environment().put("GW_ADMIN", text(admin));
+        builder.environment().put("GW_ADMIN", hostPort(admin));
         builder.environment().put("TMPDIR", temporary.toString());
         builder.environment().putAll(told);
         return new ServeProcess(builder.start(), admin, log);
@@ -107,7 +107,7 @@
     }
 
     /** As configurations word it. */
-    public static String text(InetSocketAddress address) {
+    public static String hostPort(InetSocketAddress address) {
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 
@@ -160,7 +160,7 @@
     }
 
     /** Its resident memory in MiB, the highest so far. */
-    public double highestResident() throws IOException {
+    public double peakResidentMiB() throws IOException {
         for (String line : Files.readAllLines(Path.of("/proc/" + process.pid() + "/status"))) {
             if (line.startsWith("VmHWM:")) {
                 return Double.parseDouble(line.replaceAll("[^0-9]", "")) / 1024;
--- a/src/main/java/onyxpaddle/measure/BulkMeasurement.java
+++ b/src/main/java/onyxpaddle/measure/BulkMeasurement.java
@@ -64,7 +64,7 @@
             figures.hold("long answers or bodies broken", broken.get(), "", 0, 0);
             figures.hold("first byte, median", sorted[sorted.length / 2] / 1e6, "ms", 0, 100);
             figures.hold("first byte, p99", sorted[(int) (sorted.length * 0.99)] / 1e6, "ms", 0, 1_000);
-            figures.hold("memory (resident), highest", node.highestResident(), "MiB", 0, 128);
+            figures.hold("memory (resident), highest", node.peakResidentMiB(), "MiB", 0, 128);
             figures.hold("p99 of small beside bulk / alone, median", Figures.median(ratios), "", 0, 1.1);
         }
     }
--- a/src/main/java/onyxpaddle/measure/DrillsMeasurement.java
+++ b/src/main/java/onyxpaddle/measure/DrillsMeasurement.java
@@ -20,7 +20,7 @@
         for (String name : SHIPPED) {
             Drill drill = shipped(name);
             for (int i = 0; i < part; i++) {
-                play(figures, drill.seeded(drill.seed() + i));
+                play(figures, drill.withSeed(drill.seed() + i));
             }
         }
     }
--- a/src/main/java/onyxpaddle/measure/PlatformRig.java
+++ b/src/main/java/onyxpaddle/measure/PlatformRig.java
@@ -69,7 +69,7 @@
                          {"name":"book","effect":"non_idempotent","aimS":0.5,"deadlineS":3,"worth":1}],
               "limits":{"maxAttempts":3,"cancel":true,"secondCopies":true,"retryAfter":true,"maxRetryAfterS":1,
                         "dialTimeoutS":0.2,"keepaliveS":5},"rules":{"drainGraceS":2}}}"""
-            .formatted(ServeProcess.text(listen), discovery.getAddress().getPort(), list(false));
+            .formatted(ServeProcess.hostPort(listen), discovery.getAddress().getPort(), list(false));
     }
 
     /** Starts a further process and waits until it is ready; {@code knows}: it is told what the one that runs knows. */
--- a/src/main/java/onyxpaddle/scale/RealNode.java
+++ b/src/main/java/onyxpaddle/scale/RealNode.java
@@ -42,8 +42,8 @@
         Path log = folder.resolve(plan.name() + ".log");
         boolean front = plan.kind() == NodeKind.FRONT;
         Path config = folder.resolve(plan.name() + (front ? ".json" : ".yaml"));
-        Files.writeString(config, front ? plan.json(ServeProcess.text(listen), siblings) : plan.yaml(ServeProcess.text(listen),
-            ServeProcess.text(admin)));
+        Files.writeString(config, front ? plan.json(ServeProcess.hostPort(listen), siblings) : plan.yaml(ServeProcess.hostPort(listen),
+            ServeProcess.hostPort(admin)));
         List<String> command = new ArrayList<>(List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString()));
         command.addAll(OPTIONS);
         command.addAll(List.of("-cp", ServeProcess.jar().toString(), "onyxpaddle.Main", "serve"));
@@ -54,7 +54,7 @@
         builder.environment().keySet().removeIf(name -> name.startsWith("GW_"));
         if (front) {
             builder.environment().put("GW_CONFIG", config.toString());
-            builder.environment().put("GW_ADMIN", ServeProcess.text(admin));
+            builder.environment().put("GW_ADMIN", ServeProcess.hostPort(admin));
         }
         builder.environment().put("TMPDIR", folder.toString());
         return new RealNode(plan, builder.start(), listen, admin, config, log);
@@ -98,7 +98,7 @@
     /** Writes another configuration over the one it has, in one step: the listener's worth of a change. It is not told. */
     void rewriteConfig() throws IOException {
         Path half = config.resolveSibling("." + config.getFileName());
-        Files.writeString(half, plan.yaml(ServeProcess.text(listen), ServeProcess.text(admin)).replace("deadline: 2 s", "deadline: 3 s"));
+        Files.writeString(half, plan.yaml(ServeProcess.hostPort(listen), ServeProcess.hostPort(admin)).replace("deadline: 2 s", "deadline: 3 s"));
         Files.move(half, config, java.nio.file.StandardCopyOption.ATOMIC_MOVE, java.nio.file.StandardCopyOption.REPLACE_EXISTING);
     }
 
--- a/src/test/java/onyxpaddle/control/ConfigurationChangesIT.java
+++ b/src/test/java/onyxpaddle/control/ConfigurationChangesIT.java
@@ -134,7 +134,7 @@
 
     private static int publishByCommand(String name, String change) throws Exception {
         return ProgramProcess.start(folder.resolve(name + ".log"), List.of("control", "publish", "--publisher",
-            ServeProcess.text(publisher.address()), "--wait", "30 s", change)).exitCode();
+            ServeProcess.hostPort(publisher.address()), "--wait", "30 s", change)).exitCode();
     }
 
     @Test
@@ -195,7 +195,7 @@
 
     private static String statusByCommand() throws Exception {
         ProgramProcess status = ProgramProcess.start(folder.resolve("status.log"), List.of("control", "status", "--control",
-            ServeProcess.text(fleet.nodes().get(0).activeControl().address())));
+            ServeProcess.hostPort(fleet.nodes().get(0).activeControl().address())));
         assertEquals(0, status.exitCode(), status.log());
         return status.log();
     }
--- a/src/test/java/onyxpaddle/control/ConfiguredNode.java
+++ b/src/test/java/onyxpaddle/control/ConfiguredNode.java
@@ -49,7 +49,7 @@
         this.name = name;
         this.folder = Files.createDirectories(folder);
         this.file = folder.resolve(name + ".yaml");
-        Files.writeString(file, FILE.formatted(name, ServeProcess.text(address), backend.address(), ChangeBody.routesTo(OWN_PATH)));
+        Files.writeString(file, FILE.formatted(name, ServeProcess.hostPort(address), backend.address(), ChangeBody.routesTo(OWN_PATH)));
     }
 
     String name() {
@@ -85,7 +85,7 @@
 
     /** Returns the path that its probe is answered with, which identifies the routes in force. */
     String inForce() throws IOException, InterruptedException {
-        HttpRequest request = HttpRequest.newBuilder(URI.create("http://" + ServeProcess.text(address) + "/probe"))
+        HttpRequest request = HttpRequest.newBuilder(URI.create("http://" + ServeProcess.hostPort(address) + "/probe"))
             .timeout(REQUEST_TIMEOUT).build();
         HttpResponse<String> response = client.send(request, BodyHandlers.ofString());
         if (response.statusCode() != 200) {
--- a/src/test/java/onyxpaddle/control/ControlDiskFaultsIT.java
+++ b/src/test/java/onyxpaddle/control/ControlDiskFaultsIT.java
@@ -154,7 +154,7 @@
         assertEquals(78, publisher.process().exitCode());
         assertTrue(publisher.process().log().contains("--take-over-from"), publisher.process().log());
         // Follows the advice of the message: a higher epoch, taken over from the replica.
-        publisher.startTakeOver(2, ServeProcess.text(replica.address())).awaitReady();
+        publisher.startTakeOver(2, ServeProcess.hostPort(replica.address())).awaitReady();
         publisher.publish(next());
         node.awaitInForce(newest());
     }
--- a/src/test/java/onyxpaddle/control/ControlMachine.java
+++ b/src/test/java/onyxpaddle/control/ControlMachine.java
@@ -78,7 +78,7 @@
 
     private ControlMachine start(List<String> as) throws IOException {
         role = as;
-        List<String> arguments = new ArrayList<>(List.of("control", "serve", "--listen", ServeProcess.text(address), "--id", name,
+        List<String> arguments = new ArrayList<>(List.of("control", "serve", "--listen", ServeProcess.hostPort(address), "--id", name,
             "--state", state().toString()));
         arguments.addAll(role);
         process = ProgramProcess.start(folder.resolve(name + ".log"), arguments);
@@ -112,7 +112,7 @@
     }
 
     private HttpRequest.Builder request(String path) {
-        return HttpRequest.newBuilder(URI.create("http://" + ServeProcess.text(address) + path)).timeout(REQUEST_TIMEOUT);
+        return HttpRequest.newBuilder(URI.create("http://" + ServeProcess.hostPort(address) + path)).timeout(REQUEST_TIMEOUT);
     }
 
     private Answer call(HttpRequest request) throws IOException, InterruptedException {
--- a/src/test/java/onyxpaddle/control/PartitionableLink.java
+++ b/src/test/java/onyxpaddle/control/PartitionableLink.java
@@ -18,20 +18,20 @@
         private volatile long lastNanos = Long.MIN_VALUE;
         private volatile boolean holdsRequests;
         private volatile boolean holdsAnswers;
-        private volatile boolean refuses;
+        private volatile boolean refusesConnections;
 
         @Override
-        public boolean holds(boolean toBox) {
+        public boolean holdsBack(boolean toBox) {
             return toBox ? holdsRequests : holdsAnswers;
         }
 
         @Override
-        public boolean refuses() {
-            return refuses;
+        public boolean refusesConnections() {
+            return refusesConnections;
         }
 
         @Override
-        public long takes(int count) {
+        public long transmissionNs(int count) {
             bytes.addAndGet(count);
             lastNanos = System.nanoTime();
             return 0;
@@ -63,13 +63,13 @@
 
     /** Refuses new connections and resets the open ones, so that none of their data is delivered late. */
     void refuse() {
-        gate.refuses = true;
+        gate.refusesConnections = true;
         relay.reset();
     }
 
     /** Delivers held data and forwards everything again. */
     void restore() {
-        gate.refuses = false;
+        gate.refusesConnections = false;
         gate.holdsRequests = false;
         gate.holdsAnswers = false;
     }
--- a/src/test/java/onyxpaddle/control/TakeOverIT.java
+++ b/src/test/java/onyxpaddle/control/TakeOverIT.java
@@ -57,7 +57,7 @@
             old.process().signal("STOP");
             long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(SUSPENDED_MS);
             successor.process().kill();
-            successor.startTakeOver(2, ServeProcess.text(replica.address())).awaitReady();
+            successor.startTakeOver(2, ServeProcess.hostPort(replica.address())).awaitReady();
             ConfigurationVersion published = successor.publish(next());
             assertEquals(2, published.epoch());
             assertTrue(published.number() > last.number(), "numbers continue: " + last + ", " + published);
@@ -114,7 +114,7 @@
             successor.process().kill();
             PartitionableLink announcementLink = fleet.extraLink(old);
             announcementLink.refuse();
-            successor.startTakeOver(2, ServeProcess.text(replica.address()), announcementLink.address()).awaitReady();
+            successor.startTakeOver(2, ServeProcess.hostPort(replica.address()), announcementLink.address()).awaitReady();
             successor.publish(next());
             far.awaitInForce(newest());
             assertEquals(202, old.post(ChangeBody.of(ChangeBody.ROUTES, ChangeBody.routesTo("/stray")), 2).status(),
--- a/src/test/java/onyxpaddle/drill/DrillIT.java
+++ b/src/test/java/onyxpaddle/drill/DrillIT.java
@@ -54,13 +54,13 @@
         assertTrue(verdict.answered() > 500, verdict.toString());
         List<Event> events = History.read(file);
         assertEquals(verdict, HistoryCheck.check(events));
-        assertEquals(Set.of("ready", "killed", "stopped", "continued"), events.stream().filter(e -> e.what() == Event.What.NODE)
+        assertEquals(Set.of("ready", "killed", "stopped", "continued"), events.stream().filter(e -> e.type() == Event.Type.NODE)
             .map(e -> e.get("state")).collect(Collectors.toSet()));
-        assertEquals(2L * drill.faults().size(), events.stream().filter(e -> e.what() == Event.What.FAULT).count());
+        assertEquals(2L * drill.faults().size(), events.stream().filter(e -> e.type() == Event.Type.FAULT).count());
         assertTrue(Files.size(file) > 0);
         // The same history with one booking's run written down twice is caught: what was judged is what was seen.
         List<Event> twice = new java.util.ArrayList<>(events);
-        Event ran = events.stream().filter(e -> e.what() == Event.What.RAN && unsafe(events, e)).findFirst().orElseThrow();
+        Event ran = events.stream().filter(e -> e.type() == Event.Type.RAN && unsafe(events, e)).findFirst().orElseThrow();
         twice.add(events.indexOf(ran), ran);
         assertEquals(List.of("2 twice"), HistoryCheck.check(twice).breaches().stream().map(HistoryCheck.Breach::rule).toList());
     }
@@ -112,6 +112,6 @@
     }
 
     private static boolean unsafe(List<Event> events, Event ran) {
-        return events.stream().anyMatch(e -> e.what() == Event.What.SENT && e.get("id").equals(ran.get("id")) && e.get("effect").equals("unsafe"));
+        return events.stream().anyMatch(e -> e.type() == Event.Type.SENT && e.get("id").equals(ran.get("id")) && e.get("effect").equals("unsafe"));
     }
 }
--- a/src/test/java/onyxpaddle/drill/DrillReaderTest.java
+++ b/src/test/java/onyxpaddle/drill/DrillReaderTest.java
@@ -41,7 +41,7 @@
         assertEquals(Cut.ONE_WAY, drill.faults().get(1).cut());
         assertEquals("cut one_way east - west", drill.faults().get(1).toString());
         assertEquals(20, drill.faults().get(1).afterServed());
-        assertEquals(9, drill.seeded(9).seed());
+        assertEquals(9, drill.withSeed(9).seed());
     }
 
     @Test
--- a/src/test/java/onyxpaddle/drill/HistoryCheckTest.java
+++ b/src/test/java/onyxpaddle/drill/HistoryCheckTest.java
@@ -31,7 +31,7 @@
             for (int i = 2; i < words.length; i++) {
                 more.put(words[i].substring(0, words[i].indexOf('=')), words[i].substring(words[i].indexOf('=') + 1));
             }
-            events.add(new Event(events.size() + 1, Long.parseLong(words[0]), Event.What.valueOf(words[1].toUpperCase(java.util.Locale.ROOT).replace('-', '_')), more));
+            events.add(new Event(events.size() + 1, Long.parseLong(words[0]), Event.Type.valueOf(words[1].toUpperCase(java.util.Locale.ROOT).replace('-', '_')), more));
         }
         return events;
     }
@@ -127,9 +127,9 @@
     void aFileIsReadAsItWasWritten(@TempDir Path folder) throws Exception {
         Path file = folder.resolve("history.jsonl");
         try (History history = new History(file)) {
-            history.add(Event.What.DRILL, "name", "d");
-            history.add(Event.What.SENT, "id", "a\"b", "node", "n/0");
-            history.add(Event.What.END);
+            history.add(Event.Type.DRILL, "name", "d");
+            history.add(Event.Type.SENT, "id", "a\"b", "node", "n/0");
+            history.add(Event.Type.END);
             assertEquals(history.events(), History.read(file));
         }
         List<String> lines = Files.readAllLines(file);
--- a/src/test/java/onyxpaddle/measure/PlatformFile.java
+++ b/src/test/java/onyxpaddle/measure/PlatformFile.java
@@ -31,7 +31,7 @@
              "settings":{"az":"a","areas":["a"],"quantumS":0.002,"membershipMode":"push","weights":"nominal","classes":[%s],
               "limits":{"maxAttempts":3,"cancel":true,"retryAfter":true,"maxRetryAfterS":1,"dialTimeoutS":0.5,"keepaliveS":5},
               "rules":{"drainGraceS":2,"startCapacity":0.3,"coldS":20,"fallMultiple":3,"overloadForS":2}}}"""
-            .formatted(ServeProcess.text(listen), discovery, sockets, known, classes);
+            .formatted(ServeProcess.hostPort(listen), discovery, sockets, known, classes);
     }
 
     /** Asks on a connection of its own; empty where it ends without an answer. */
--- a/src/test/java/onyxpaddle/measure/SizesIT.java
+++ b/src/test/java/onyxpaddle/measure/SizesIT.java
@@ -46,7 +46,7 @@
              "settings":{"az":"zone-0","areas":["zone-0","zone-1"],"me":119,"siblings":120,"quantumS":0.002,"membershipMode":"push","weights":"nominal",
               "classes":[%s],"limits":{"maxAttempts":4,"cancel":true,"retryAfter":true,"maxRetryAfterS":1,"dialTimeoutS":0.2,"keepaliveS":5},
               "rules":{"drainGraceS":2,"startCapacity":0.3,"coldS":5,"fallMultiple":3,"overloadForS":2}}}"""
-            .formatted(ServeProcess.text(listen), discovery, memory, sockets, list, classes);
+            .formatted(ServeProcess.hostPort(listen), discovery, memory, sockets, list, classes);
     }
 
     /** Memory as the platform counts it is what is resident; the file system's share of the class archive is in it. */
@@ -78,7 +78,7 @@
                     assertTrue(answer.startsWith("HTTP/1.1 200"), effect + ": " + answer);
                 }
                 assertTrue(node.call("GET /metrics").contains("svc_hosts_listed " + servers + "\n"));
-                double resident = node.highestResident();
+                double resident = node.peakResidentMiB();
                 assertTrue(resident < memory, resident + " MiB of " + memory);
                 node.process().destroy();
                 assertTrue(node.process().waitFor(10, TimeUnit.SECONDS), "it ends by itself");
--- a/src/test/java/onyxpaddle/serve/DistributedNodeTest.java
+++ b/src/test/java/onyxpaddle/serve/DistributedNodeTest.java
@@ -112,7 +112,7 @@
               app: {servers: ["%s"]}
             routes:
               - {name: look, listener: in, path: /slots, pool: app, class: look}
-            """.formatted(ServeProcess.text(admin), ServeProcess.text(listen), server.hostPort()));
+            """.formatted(ServeProcess.hostPort(admin), ServeProcess.hostPort(listen), server.hostPort()));
     }
 
     private void awaitAnswerFrom(String server) throws InterruptedException {
@@ -193,7 +193,7 @@
         try (Loopback.FakeServer server = new Loopback.FakeServer("s1");
                 Loopback.FakeDiscovery discovery = new Loopback.FakeDiscovery(Loopback.list(1, server))) {
             Path file = Files.writeString(folder.resolve("platform.json"), Loopback.config(discovery, server));
-            Map<String, String> environment = Map.of("GW_CONFIG", file.toString(), "GW_ADMIN", ServeProcess.text(admin));
+            Map<String, String> environment = Map.of("GW_CONFIG", file.toString(), "GW_ADMIN", ServeProcess.hostPort(admin));
             try (NodeProcess node = new NodeProcess(environment, "serve").awaitReady()) {
                 assertFalse(node.loaded("onyxpaddle.membership.Discovery").isEmpty());
                 node.terminate();
