--- a/src/main/java/onyxpaddle/sidecar/CheckedFiles.java
+++ b/src/main/java/onyxpaddle/sidecar/CheckedFiles.java
@@ -19,59 +19,62 @@
 import onyxpaddle.config.Value;
 import onyxpaddle.config.ConfigView;
 
-/** Files of any of our kinds, read and checked one by one and together. */
+/** Descriptions, node configurations and server list files, read and checked one by one and against each other. */
 final class CheckedFiles {
-    private static final int MOST_FILES = 1000;
+    private static final int MAX_FILES = 1000;
 
     final Faults faults = new Faults();
     final List<Description> descriptions = new ArrayList<>();
     final Map<Path, NodeConfig> configs = new LinkedHashMap<>();
-    int files;
+    int fileCount;
     private final MachineLimits machine;
 
     private CheckedFiles(MachineLimits machine) {
         this.machine = machine;
     }
 
-    /** Reads the files, and of each folder those that end in .yaml, .yml or .json. */
+    /** Reads the given files, and from each folder those with the suffix .yaml, .yml or .json. */
     static CheckedFiles of(List<Path> paths, MachineLimits machine) {
         return of(paths, machine, true);
     }
 
-    /** {@code whole}: these are all applications of the machine, so that a call to another one must find it here. */
-    static CheckedFiles of(List<Path> paths, MachineLimits machine, boolean whole) {
+    /**
+     * @param complete whether the descriptions cover all applications of the machine; if so, a call to an application that is
+     *     not among them is a fault
+     */
+    static CheckedFiles of(List<Path> paths, MachineLimits machine, boolean complete) {
         CheckedFiles checked = new CheckedFiles(machine);
         for (Path path : paths) {
             if (Files.isDirectory(path)) {
-                checked.folder(path);
+                checked.readFolder(path);
             } else {
-                checked.file(path);
+                checked.readFile(path);
             }
         }
-        CrossDescriptionCheck.check(checked.descriptions, whole, checked.faults);
-        checked.ports();
+        CrossDescriptionCheck.check(checked.descriptions, complete, checked.faults);
+        checked.checkListenerAddresses();
         return checked;
     }
 
-    private void folder(Path folder) {
-        List<Path> inside = new ArrayList<>();
+    private void readFolder(Path folder) {
+        List<Path> entries = new ArrayList<>();
         try (DirectoryStream<Path> stream = Files.newDirectoryStream(folder, "*.{yaml,yml,json}")) {
-            stream.forEach(inside::add);
+            stream.forEach(entries::add);
         } catch (IOException e) {
-            faults.add(Place.of(folder.toString()), "", "the folder cannot be read", "check its rights");
+            faults.add(Place.of(folder.toString()), "", "the folder cannot be read", "check its permissions");
             return;
         }
-        if (inside.isEmpty() || inside.size() > MOST_FILES) {
-            faults.add(Place.of(folder.toString()), "", "the folder holds " + inside.size() + " files of ours",
-                "from 1 to " + MOST_FILES + " that end in .yaml, .yml or .json");
+        if (entries.isEmpty() || entries.size() > MAX_FILES) {
+            faults.add(Place.of(folder.toString()), "", "the folder has " + entries.size() + " configuration files",
+                "from 1 to " + MAX_FILES + " that end in .yaml, .yml or .json");
             return;
         }
-        inside.sort(null);
-        inside.forEach(this::file);
+        entries.sort(null);
+        entries.forEach(this::readFile);
     }
 
-    private void file(Path path) {
-        files++;
+    private void readFile(Path path) {
+        fileCount++;
         Value value = SourceFile.read(path, faults);
         if (value == null) {
             return;
@@ -91,14 +94,14 @@
         faults.addAll(own.list());
     }
 
-    private void ports() {
+    private void checkListenerAddresses() {
         Map<Listener, Path> listeners = new LinkedHashMap<>();
         configs.forEach((path, config) -> config.listeners().values().forEach(listener -> {
             listeners.forEach((other, where) -> {
                 if (other.address().conflictsWith(listener.address()) && !where.equals(path)) {
                     faults.add(Place.of(path.toString()), "listeners." + listener.name() + ".address", listener.address()
-                        + " is claimed by the listener `" + other.name() + "` of " + where + " too",
-                        "a port of its own for each listener of a machine");
+                        + " is also used by the listener `" + other.name() + "` of " + where,
+                        "a unique port for each listener of the machine");
                 }
             });
             listeners.put(listener, path);
--- a/src/main/java/onyxpaddle/sidecar/CommandRunner.java
+++ b/src/main/java/onyxpaddle/sidecar/CommandRunner.java
@@ -3,7 +3,7 @@
 import java.io.PrintWriter;
 import picocli.CommandLine;
 
-/** How each command of the program is run: what it prints to, and what becomes of wrong usage and of failures. */
+/** Runs a command of the program with its output streams, and maps usage errors and exceptions to exit codes. */
 public final class CommandRunner {
     private static final int CANNOT_RUN = 1;
     private static final int USAGE = 64;
--- a/src/main/java/onyxpaddle/sidecar/ConfigFiles.java
+++ b/src/main/java/onyxpaddle/sidecar/ConfigFiles.java
@@ -12,13 +12,13 @@
 import java.util.List;
 
 /**
- * Written configurations on disk. Each bears a checksum of its text, by which a file that a person changed is told
+ * Generated configurations on disk. Each file holds a checksum of its text, which tells a file that was edited by hand
  * from one that is only out of date.
  */
 final class ConfigFiles {
     private static final String CHECKSUM = "# checksum: ";
 
-    /** What is at a place where a configuration is to go. */
+    /** The state of the file that a configuration is to be written to. */
     enum FileState { ABSENT, SAME, OUTDATED, CHANGED_BY_HAND }
 
     private ConfigFiles() {
@@ -28,8 +28,8 @@
         return folder.resolve(name + ".node.yaml");
     }
 
-    /** A configuration with the lines that say where it comes from. */
-    static String sealed(String text, String from) {
+    /** Prepends the header lines: the source of the configuration and its checksum. */
+    static String withHeader(String text, String from) {
         return "# Written by `lupinmount sidecar write` from " + from + ": change that file, not this one.\n"
             + CHECKSUM + checksum(text) + "\n" + text;
     }
@@ -43,29 +43,29 @@
         }
     }
 
-    static FileState standing(Path path, String sealed) throws IOException {
+    static FileState state(Path path, String content) throws IOException {
         if (!Files.exists(path)) {
             return FileState.ABSENT;
         }
         String before = Files.readString(path);
-        if (before.equals(sealed)) {
+        if (before.equals(content)) {
             return FileState.SAME;
         }
         String[] parts = before.split("\n", 3);
-        boolean ours = parts.length == 3 && parts[1].startsWith(CHECKSUM)
+        boolean unedited = parts.length == 3 && parts[1].startsWith(CHECKSUM)
             && parts[1].substring(CHECKSUM.length()).equals(checksum(parts[2]));
-        return ours ? FileState.OUTDATED : FileState.CHANGED_BY_HAND;
+        return unedited ? FileState.OUTDATED : FileState.CHANGED_BY_HAND;
     }
 
-    /** Puts it there in one step, so that nobody reads half of it. */
-    static void write(Path path, String sealed) throws IOException {
-        Path half = path.resolveSibling("." + path.getFileName() + ".tmp");
-        Files.writeString(half, sealed);
-        Files.move(half, path, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+    /** Replaces the file atomically, so that no reader sees a partial file. */
+    static void write(Path path, String content) throws IOException {
+        Path temporary = path.resolveSibling("." + path.getFileName() + ".tmp");
+        Files.writeString(temporary, content);
+        Files.move(temporary, path, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
     }
 
-    /** What would change, line by line: a longest common subsequence, in the signs of diff. */
-    static List<String> difference(String before, String after) {
+    /** The line differences, marked `+` and `-` as diff does, from a longest common subsequence. */
+    static List<String> diff(String before, String after) {
         String[] a = before.isEmpty() ? new String[0] : before.split("\n", -1);
         String[] b = after.split("\n", -1);
         int[][] common = new int[a.length + 1][b.length + 1];
--- a/src/main/java/onyxpaddle/sidecar/ConfigGenerator.java
+++ b/src/main/java/onyxpaddle/sidecar/ConfigGenerator.java
@@ -17,98 +17,100 @@
 import onyxpaddle.sidecar.Description.Served;
 
 /**
- * Makes the node's configuration from a sound description, as text. The same descriptions give the same text, byte for
- * byte. Everything the reader would take as usual is written out all the same: a configuration is read by people who
- * want to know what holds.
+ * Generates the text of a node's configuration from a valid description. The output is deterministic: the same descriptions
+ * give the same bytes. Defaults are written out, so that people who read the configuration see the effective values.
  */
 final class ConfigGenerator {
-    private static final String RPC = ", protocol: messagepack-rpc";
+    private static final String RPC_PROTOCOL = ", protocol: messagepack-rpc";
 
     private final StringBuilder out = new StringBuilder();
-    private final Description of;
-    private final Map<String, Description> neighbours = new HashMap<>();
+    private final Description description;
+    private final Map<String, Description> applications = new HashMap<>();
     private final Path folder;
 
-    private ConfigGenerator(Description of, List<Description> all, Path folder) {
-        this.of = of;
+    private ConfigGenerator(Description description, List<Description> all, Path folder) {
+        this.description = description;
         this.folder = folder;
-        all.forEach(d -> neighbours.put(d.name(), d));
+        all.forEach(d -> applications.put(d.name(), d));
     }
 
-    /** {@code all}: the applications of this machine; {@code folder}: where the text will stand, for names of files. */
-    static String text(Description of, List<Description> all, Path folder) {
-        return new ConfigGenerator(of, all, folder).all();
+    /**
+     * @param all the applications of this machine
+     * @param folder the folder of the generated file, which file names in it are relative to
+     */
+    static String generate(Description description, List<Description> all, Path folder) {
+        return new ConfigGenerator(description, all, folder).generate();
     }
 
-    private String all() {
+    private String generate() {
         line("version: 1");
-        line("name: " + of.name());
-        if (of.tenant() != null) {
-            line("tenant: " + of.tenant());
+        line("name: " + description.name());
+        if (description.tenant() != null) {
+            line("tenant: " + description.tenant());
         }
         line("limits:");
-        line("  memory: " + Units.formatSize(of.limits().memory()));
-        line("  descriptors: " + of.limits().descriptors());
-        if (of.admin() != null) {
-            line("admin: " + quoted(of.admin().toString()));
+        line("  memory: " + Units.formatSize(description.limits().memory()));
+        line("  descriptors: " + description.limits().descriptors());
+        if (description.admin() != null) {
+            line("admin: " + quoted(description.admin().toString()));
         }
-        if (of.handover() != null) {
-            line("handover: " + quoted(relative(of.handover())));
+        if (description.handover() != null) {
+            line("handover: " + quoted(relativePath(description.handover())));
         }
         line("listeners:");
-        listener("inbound", of.inbound(), "");
-        listener("inbound--rpc", of.inboundRpc(), RPC);
-        for (Call call : of.calls().values()) {
-            listener("call-" + call.name(), here(call.ports().http()), ", side: outbound");
-            listener("call-" + call.name() + "--rpc", here(call.ports().rpc()), RPC + ", side: outbound");
+        listener("inbound", description.inbound(), "");
+        listener("inbound--rpc", description.inboundRpc(), RPC_PROTOCOL);
+        for (Call call : description.calls().values()) {
+            listener("call-" + call.name(), loopback(call.ports().http()), ", side: outbound");
+            listener("call-" + call.name() + "--rpc", loopback(call.ports().rpc()), RPC_PROTOCOL + ", side: outbound");
         }
         line("classes:");
-        classes("in", of.serves(), of.others());
-        for (Call call : of.calls().values()) {
+        classes("in", description.serves(), description.others());
+        for (Call call : description.calls().values()) {
             classes("to-" + call.name(), call.classes(), call.others());
         }
         line("pools:");
-        pool("application", of.own(), of.own().servers());
-        for (Call call : of.calls().values()) {
-            pool("to-" + call.name(), call.pool(), call.application() ? neighbour(call) : call.pool().servers());
+        pool("application", description.own(), description.own().servers());
+        for (Call call : description.calls().values()) {
+            pool("to-" + call.name(), call.pool(), call.application() ? localApplication(call) : call.pool().servers());
         }
-        if (of.inbound() != null || of.calls().values().stream().anyMatch(c -> c.ports().http() != 0)) {
+        if (description.inbound() != null || description.calls().values().stream().anyMatch(c -> c.ports().http() != 0)) {
             line("routes:");
         }
-        routes("in", "inbound", "application", of.serves(), of.others());
-        for (Call call : of.calls().values()) {
+        routes("in", "inbound", "application", description.serves(), description.others());
+        for (Call call : description.calls().values()) {
             routes("to-" + call.name(), "call-" + call.name(), "to-" + call.name(), call.classes(), call.others());
         }
-        if (of.inboundRpc() != null || of.calls().values().stream().anyMatch(c -> c.ports().rpc() != 0)) {
+        if (description.inboundRpc() != null || description.calls().values().stream().anyMatch(c -> c.ports().rpc() != 0)) {
             line("procedures:");
         }
-        procedures("in", "inbound--rpc", "application", of.serves());
-        for (Call call : of.calls().values()) {
+        procedures("in", "inbound--rpc", "application", description.serves());
+        for (Call call : description.calls().values()) {
             procedures("to-" + call.name(), "call-" + call.name() + "--rpc", "to-" + call.name(), call.classes());
         }
         return out.toString();
     }
 
-    // Names are made unique by `--`, which labels may not hold: a class is `in--look` or `to-records--look`, and the
-    // class of all other paths `in` or `to-records`.
+    // `--` keeps generated names unique, as labels must not contain it: a class is named `in--look` or `to-records--look`, and
+    // the class of all other paths `in` or `to-records`.
 
-    /** An application on this machine is reached through its own node, at its inbound side. */
-    private List<Server> neighbour(Call call) {
-        Description other = neighbours.get(call.name());
-        return List.of(new Server(call.name(), reached(other.inbound()), 1, "", false, reached(other.inboundRpc())));
+    /** The single server for calls to an application on this machine: the inbound listeners of its node. */
+    private List<Server> localApplication(Call call) {
+        Description other = applications.get(call.name());
+        return List.of(new Server(call.name(), connectAddress(other.inbound()), 1, "", false, connectAddress(other.inboundRpc())));
     }
 
-    private static HostPort reached(HostPort inbound) {
-        return inbound != null && inbound.any() ? here(inbound.port()) : inbound;
+    private static HostPort connectAddress(HostPort inbound) {
+        return inbound != null && inbound.any() ? loopback(inbound.port()) : inbound;
     }
 
-    private static HostPort here(int port) {
+    private static HostPort loopback(int port) {
         return port == 0 ? null : new HostPort("127.0.0.1", port);
     }
 
-    private void listener(String name, HostPort address, String more) {
+    private void listener(String name, HostPort address, String options) {
         if (address != null) {
-            line("  " + name + ": {address: " + quoted(address.toString()) + more + "}");
+            line("  " + name + ": {address: " + quoted(address.toString()) + options + "}");
         }
     }
 
@@ -159,7 +161,7 @@
     private void pool(String name, Pool pool, List<Server> servers) {
         line("  " + name + ":");
         if (pool.file() != null) {
-            line("    file: " + quoted(relative(pool.file())));
+            line("    file: " + quoted(relativePath(pool.file())));
         } else if (pool.discovery() != null) {
             line("    discovery: " + quoted(pool.discovery().toString()));
         } else {
@@ -184,12 +186,12 @@
         }
     }
 
-    private String relative(Path file) {
-        Path to = file.toAbsolutePath().normalize();
+    private String relativePath(Path file) {
+        Path target = file.toAbsolutePath().normalize();
         try {
-            return folder.toAbsolutePath().normalize().relativize(to).toString();
+            return folder.toAbsolutePath().normalize().relativize(target).toString();
         } catch (IllegalArgumentException e) {
-            return to.toString();
+            return target.toString();
         }
     }
 
--- a/src/main/java/onyxpaddle/sidecar/CrossDescriptionCheck.java
+++ b/src/main/java/onyxpaddle/sidecar/CrossDescriptionCheck.java
@@ -11,9 +11,9 @@
 import onyxpaddle.config.SpellingSuggestions;
 import onyxpaddle.sidecar.Description.Call;
 
-/** What can be wrong only between the applications of one machine: names, ports, and calls to each other. */
+/** Checks the descriptions of one machine against each other: names, ports, and calls between the applications. */
 final class CrossDescriptionCheck {
-    private record Claim(HostPort address, String what, Place place, String path, Description by) {
+    private record PortUse(HostPort address, String user, Place place, String path, Description description) {
     }
 
     private final List<Description> all;
@@ -24,76 +24,76 @@
         this.faults = faults;
     }
 
-    /** {@code whole}: whether these are all there are. */
-    static void check(List<Description> descriptions, boolean whole, Faults faults) {
-        CrossDescriptionCheck together = new CrossDescriptionCheck(descriptions, faults);
-        together.names();
-        together.ports();
-        together.calls(whole);
+    /** {@code complete}: whether the descriptions cover all applications of the machine. */
+    static void check(List<Description> descriptions, boolean complete, Faults faults) {
+        CrossDescriptionCheck check = new CrossDescriptionCheck(descriptions, faults);
+        check.checkNames();
+        check.checkPorts();
+        check.checkCalls(complete);
     }
 
-    private void names() {
+    private void checkNames() {
         Map<String, Description> first = new HashMap<>();
         for (Description d : all) {
             Description other = d.name().isEmpty() ? null : first.putIfAbsent(d.name(), d);
             if (other != null) {
-                faults.add(d.at().place("application"), "application", "`" + d.name() + "` is described in "
-                    + other.file() + " too", "a name of its own for each application");
+                faults.add(d.at().place("application"), "application", "`" + d.name() + "` is also described in "
+                    + other.file(), "a unique name for each application");
             }
         }
     }
 
-    private void ports() {
-        List<Claim> claims = new ArrayList<>();
+    private void checkPorts() {
+        List<PortUse> uses = new ArrayList<>();
         for (Description d : all) {
-            claim(claims, d, d.at(), "port", here(d.ports().http()), "the application `" + d.name() + "`");
-            claim(claims, d, d.at(), "rpc-port", here(d.ports().rpc()), "the application `" + d.name() + "`");
-            claim(claims, d, d.at(), "inbound", d.inbound(), "the inbound side of `" + d.name() + "`");
-            claim(claims, d, d.at(), "inbound-rpc", d.inboundRpc(), "the inbound side of `" + d.name() + "`");
-            claim(claims, d, d.at(), "admin", d.admin(), "the operators' door of `" + d.name() + "`");
+            addPort(uses, d, d.at(), "port", loopback(d.ports().http()), "the application `" + d.name() + "`");
+            addPort(uses, d, d.at(), "rpc-port", loopback(d.ports().rpc()), "the application `" + d.name() + "`");
+            addPort(uses, d, d.at(), "inbound", d.inbound(), "the inbound listener of `" + d.name() + "`");
+            addPort(uses, d, d.at(), "inbound-rpc", d.inboundRpc(), "the inbound listener of `" + d.name() + "`");
+            addPort(uses, d, d.at(), "admin", d.admin(), "the admin endpoint of `" + d.name() + "`");
             for (Call call : d.calls().values()) {
-                String what = "the call `" + call.name() + "` of `" + d.name() + "`";
-                claim(claims, d, call.at(), "port", here(call.ports().http()), what);
-                claim(claims, d, call.at(), "rpc-port", here(call.ports().rpc()), what);
+                String user = "the call `" + call.name() + "` of `" + d.name() + "`";
+                addPort(uses, d, call.at(), "port", loopback(call.ports().http()), user);
+                addPort(uses, d, call.at(), "rpc-port", loopback(call.ports().rpc()), user);
             }
         }
     }
 
-    private static HostPort here(int port) {
+    private static HostPort loopback(int port) {
         return new HostPort("127.0.0.1", port);
     }
 
-    private void claim(List<Claim> claims, Description by, ConfigView at, String key, HostPort address, String what) {
+    private void addPort(List<PortUse> uses, Description description, ConfigView at, String key, HostPort address, String user) {
         if (address != null && address.port() != 0) {
-            claim(claims, new Claim(address, what, at.place(key), at.path(key), by));
+            addPort(uses, new PortUse(address, user, at.place(key), at.path(key), description));
         }
     }
 
-    private void claim(List<Claim> claims, Claim claim) {
-        for (Claim other : claims) {
-            if (claim.address().conflictsWith(other.address())) {
-                String where = (claim.by() == other.by() ? "line " + other.place().line() : other.place().toString());
-                faults.add(claim.place(), claim.path(), "port " + claim.address().port() + " is claimed by "
-                    + other.what() + " too (" + other.address() + ", " + where + ")", "a port of its own for each");
+    private void addPort(List<PortUse> uses, PortUse use) {
+        for (PortUse other : uses) {
+            if (use.address().conflictsWith(other.address())) {
+                String where = (use.description() == other.description() ? "line " + other.place().line() : other.place().toString());
+                faults.add(use.place(), use.path(), "port " + use.address().port() + " is also used by "
+                    + other.user() + " (" + other.address() + ", " + where + ")", "a unique port for each");
                 break;
             }
         }
-        claims.add(claim);
+        uses.add(use);
     }
 
-    /** That an application on this machine is called by what it speaks. */
-    private void spoken(Call call, Description other) {
+    /** Checks that the called application on this machine serves the protocols of the call. */
+    private void checkProtocols(Call call, Description other) {
         if (call.ports().http() != 0 && other.inbound() == null) {
-            faults.add(call.at().place("port"), call.at().path("port"), "`" + other.name() + "` does not speak HTTP",
+            faults.add(call.at().place("port"), call.at().path("port"), "`" + other.name() + "` does not serve HTTP",
                 "`rpc-port`, or `inbound` in the description of `" + other.name() + "`");
         }
         if (call.ports().rpc() != 0 && other.inboundRpc() == null) {
             faults.add(call.at().place("rpc-port"), call.at().path("rpc-port"), "`" + other.name()
-                + "` does not speak MessagePack-RPC", "`port`, or `inbound-rpc` in the description of `" + other.name() + "`");
+                + "` does not serve MessagePack-RPC", "`port`, or `inbound-rpc` in the description of `" + other.name() + "`");
         }
     }
 
-    private void calls(boolean whole) {
+    private void checkCalls(boolean complete) {
         List<String> names = all.stream().map(Description::name).filter(n -> !n.isEmpty()).toList();
         for (Description d : all) {
             for (Call call : d.calls().values()) {
@@ -103,13 +103,13 @@
                 if (call.name().equals(d.name())) {
                     faults.add(call.at().place(), call.at().path(), "the application calls itself through its own node",
                         "call its own port " + (d.ports().http() != 0 ? d.ports().http() : d.ports().rpc()));
-                } else if (whole && !names.contains(call.name())) {
-                    String near = SpellingSuggestions.nearest(call.name(), names);
-                    faults.add(call.at().place(), call.at().path(), "nobody serves `" + call.name() + "`",
-                        (near != null ? "did you mean `" + near + "`? " : "")
-                            + "`servers`, `file` or `discovery`, or the description of that application beside this one");
+                } else if (complete && !names.contains(call.name())) {
+                    String similar = SpellingSuggestions.nearest(call.name(), names);
+                    faults.add(call.at().place(), call.at().path(), "no application named `" + call.name() + "`",
+                        (similar != null ? "did you mean `" + similar + "`? " : "")
+                            + "`servers`, `file` or `discovery`, or the description of that application among the files");
                 } else {
-                    all.stream().filter(o -> o.name().equals(call.name())).findFirst().ifPresent(o -> spoken(call, o));
+                    all.stream().filter(o -> o.name().equals(call.name())).findFirst().ifPresent(o -> checkProtocols(call, o));
                 }
             }
         }
--- a/src/main/java/onyxpaddle/sidecar/Description.java
+++ b/src/main/java/onyxpaddle/sidecar/Description.java
@@ -11,12 +11,12 @@
 import onyxpaddle.config.ConfigView;
 
 /**
- * An application as its people describe it. What stands in no file is derived.
+ * The description of an application by its developers, from which the configuration of its node is generated.
  *
- * @param inbound where callers connect by HTTP, {@code inboundRpc} by MessagePack-RPC; one of the two may be null
- * @param admin where operators call, null for nowhere; {@code handover}: where its processes meet, null for nowhere
- * @param own the pool that is the application itself
- * @param others the class of requests for all other paths; null where they are turned away
+ * @param inbound the address for HTTP callers, {@code inboundRpc} the one for MessagePack-RPC callers; one of the two may be null
+ * @param admin the address of the admin endpoint, null for none; {@code handover}: the path of the handover socket, null for none
+ * @param own the pool of the application itself
+ * @param others the class of requests for all other paths; null if they are refused
  */
 record Description(Path file, ConfigView at, String name, String tenant, Ports ports, HostPort inbound, HostPort inboundRpc,
         HostPort admin, Path handover, Limits limits, Pool own, Map<String, Served> serves, RequestClass others, Map<String, Call> calls) {
@@ -24,14 +24,14 @@
     record Ports(int http, int rpc) {
     }
 
-    /** A class and which requests it is. */
+    /** A class and the requests that belong to it. */
     record Served(RequestClass requestClass, List<String> paths, Set<String> methods, List<String> procedures) {
     }
 
     /**
-     * Something that the application calls.
+     * A service that the application calls.
      *
-     * @param application whether it is an application on this machine, by its name
+     * @param application whether the service is an application on this machine, looked up by name
      */
     record Call(String name, ConfigView at, Ports ports, Pool pool, boolean application, Map<String, Served> classes,
             RequestClass others) {
--- a/src/main/java/onyxpaddle/sidecar/DescriptionReader.java
+++ b/src/main/java/onyxpaddle/sidecar/DescriptionReader.java
@@ -30,7 +30,7 @@
 import onyxpaddle.sidecar.Description.Ports;
 import onyxpaddle.sidecar.Description.Served;
 
-/** Reads a description and finds all that is wrong with it by itself; see {@link CrossDescriptionCheck} for the rest. */
+/** Reads and validates a single description; {@link CrossDescriptionCheck} checks descriptions against each other. */
 final class DescriptionReader {
     private final ConfigView root;
     private final Path file;
@@ -44,30 +44,30 @@
         this.limits = NodeConfigReader.limits(root.section("limits"));
     }
 
-    /** What it returns is whole only if there are no faults. */
+    /** The result is complete only if no faults were added. */
     static Description read(Value value, Path file, MachineLimits machine, Faults faults) {
         SchemaValidator.check(value, DescriptionShape.ALL, faults);
-        return new DescriptionReader(new ConfigView(value), file, faults).all(machine);
+        return new DescriptionReader(new ConfigView(value), file, faults).read(machine);
     }
 
-    private Description all(MachineLimits machine) {
+    private Description read(MachineLimits machine) {
         ConfigView bounds = root.section("limits");
         machine.check(bounds, limits, faults);
         Ports ports = new Ports(root.port("port"), root.port("rpc-port"));
         HostPort inbound = inbound("inbound", "port", "HTTP");
         HostPort inboundRpc = inbound("inbound-rpc", "rpc-port", "MessagePack-RPC");
         if (!root.has("port") && !root.has("rpc-port")) {
-            faults.add(root.place(), "", "the application listens nowhere", "`port:` for HTTP, `rpc-port:` for MessagePack-RPC, or both");
+            faults.add(root.place(), "", "the application has no port", "`port:` for HTTP, `rpc-port:` for MessagePack-RPC, or both");
         }
         if (!root.has("serves") && !root.has("default")) {
-            faults.add(root.place(), "", "the application serves nothing", "`serves:` with its classes, or `default:`");
+            faults.add(root.place(), "", "the application serves no requests", "`serves:` with its classes, or `default:`");
         }
-        List<Server> itself = ports.http() == 0 && ports.rpc() == 0 ? List.of()
-            : List.of(new Server("application", here(ports.http()), 1, "", false, here(ports.rpc())));
-        Pool own = NodeConfigReader.poolSettings("application", bounds, itself, null, null, limits, faults);
+        List<Server> ownServers = ports.http() == 0 && ports.rpc() == 0 ? List.of()
+            : List.of(new Server("application", loopback(ports.http()), 1, "", false, loopback(ports.rpc())));
+        Pool own = NodeConfigReader.poolSettings("application", bounds, ownServers, null, null, limits, faults);
         Map<String, Served> serves = served(root, "serves", root.section("default"), root.has("default"));
-        spoken(root, "serves", "port", "rpc-port");
-        checkWholeBodiesFit(root, "serves", bounds, own);
+        checkProtocols(root, "serves", "port", "rpc-port");
+        checkHeldBodies(root, "serves", bounds, own);
         Map<String, Call> calls = new LinkedHashMap<>();
         root.named("calls").forEach((name, view) -> calls.put(name, call(name, view, inbound, inboundRpc)));
         HostPort admin = NodeConfigReader.admin(root, faults);
@@ -76,48 +76,48 @@
             ports, inbound, inboundRpc, admin, handover, limits, own, serves, others(root), calls);
     }
 
-    private static HostPort here(int port) {
+    private static HostPort loopback(int port) {
         return port == 0 ? null : new HostPort("127.0.0.1", port);
     }
 
-    /** The address for callers by one protocol, which stands with the port of the application for the same. */
+    /** The inbound address for one protocol; it and the application's port for that protocol are given both or neither. */
     private HostPort inbound(String key, String port, String protocol) {
         HostPort inbound = root.address(key);
         if (inbound != null && inbound.port() == 0) {
-            faults.add(root.place(key), key, "port 0 is none that callers can know", "a port from 1 to 65535");
+            faults.add(root.place(key), key, "callers cannot connect to port 0", "a port from 1 to 65535");
         }
         if (root.has(key) != root.has(port)) {
-            String there = root.has(key) ? key : port;
-            faults.add(root.place(there), there, "`" + there + "` without `" + (root.has(key) ? port : key) + "`",
-                "both, where callers come by " + protocol + ", or neither");
+            String present = root.has(key) ? key : port;
+            faults.add(root.place(present), present, "`" + present + "` without `" + (root.has(key) ? port : key) + "`",
+                "both, if callers use " + protocol + ", or neither");
         }
         return inbound;
     }
 
-    /** That each class is reached by some protocol, and each protocol that a class names has a port. */
-    private void spoken(ConfigView at, String key, String http, String rpc) {
+    /** Checks that each class can be reached by a protocol, and that each protocol that a class uses has a port. */
+    private void checkProtocols(ConfigView at, String key, String http, String rpc) {
         at.named(key).forEach((name, view) -> {
             if (view.isSection() && !view.has("paths") && !view.has("procedures")) {
-                faults.add(view.place(), view.path(), "no request can be of this class", "`paths:` for HTTP, `procedures:` for "
+                faults.add(view.place(), view.path(), "no request can match this class", "`paths:` for HTTP, `procedures:` for "
                     + "MessagePack-RPC, or both");
             }
-            unspoken(at, view, "paths", http);
-            unspoken(at, view, "procedures", rpc);
+            checkPort(at, view, "paths", http);
+            checkPort(at, view, "procedures", rpc);
         });
         if (at.has("default") && !at.has(http) && at.has(rpc)) {
-            faults.add(at.place("default"), at.path("default"), "stands for paths of HTTP, and there is no `" + http + "`",
+            faults.add(at.place("default"), at.path("default"), "applies to HTTP paths, but there is no `" + http + "`",
                 "`procedures: [\"*\"]` in a class, or `" + http + ":`");
         }
     }
 
-    private void unspoken(ConfigView at, ConfigView view, String what, String port) {
+    private void checkPort(ConfigView at, ConfigView view, String what, String port) {
         if (view.has(what) && !at.has(port) && (at.has("port") || at.has("rpc-port"))) {
-            faults.add(view.place(what), view.path(what), "`" + what + "` where there is no `" + port + "`",
+            faults.add(view.place(what), view.path(what), "`" + what + "` without `" + port + "`",
                 "`" + port + ":`, or no `" + what + "`");
         }
     }
 
-    /** The classes under a key, and the conflicts between their paths. */
+    /** Reads the classes under a key and reports conflicts between their paths. */
     private Map<String, Served> served(ConfigView at, String key, ConfigView others, boolean hasOthers) {
         Map<String, Served> served = new LinkedHashMap<>();
         List<Route> routes = new ArrayList<>();
@@ -133,7 +133,7 @@
                 if (text != null) {
                     Route route = new Route(name + " " + text, "in", null, text, methods, Map.of(), "p", name, null);
                     if (places.put(route, path) != null) {
-                        faults.add(path.place(), path.path(), "the path stands twice", "each path once");
+                        faults.add(path.place(), path.path(), "duplicate path", "each path once");
                     } else {
                         routes.add(route);
                     }
@@ -141,11 +141,11 @@
             }
         });
         if (hasOthers && routes.stream().noneMatch(r -> r.path().equals("/") && r.methods().isEmpty())) {
-            Route rest = new Route("default", "in", null, "/", Set.of(), Map.of(), "p", "default", null);
-            places.put(rest, others);
-            routes.add(rest);
+            Route fallback = new Route("default", "in", null, "/", Set.of(), Map.of(), "p", "default", null);
+            places.put(fallback, others);
+            routes.add(fallback);
         } else if (hasOthers) {
-            faults.add(others.place(), others.path(), "a class has all paths (`/`) already", "remove one of the two");
+            faults.add(others.place(), others.path(), "a class already matches all paths (`/`)", "remove one of the two");
         }
         NodeConfigReader.checkConflicts(routes, places, faults);
         return served;
@@ -157,7 +157,7 @@
             String text = item.self(Kind.PROCEDURE);
             Place first = text == null ? null : taken.putIfAbsent(text, item.place());
             if (first != null) {
-                faults.add(item.place(), item.path(), "`" + text + "` stands twice, first at line " + first.line(),
+                faults.add(item.place(), item.path(), "duplicate `" + text + "`, first at line " + first.line(),
                     "each procedure once");
             } else if (text != null) {
                 procedures.add(text);
@@ -174,7 +174,7 @@
         }
         long aim = view.span("aim", deadline);
         if (aim > deadline) {
-            faults.add(view.place("aim"), view.path("aim"), "the aim lies after the deadline",
+            faults.add(view.place("aim"), view.path("aim"), "the aim is later than the deadline",
                 "an aim no later than the deadline");
         }
         return new RequestClass("other", Effect.UNSAFE, aim, deadline, view.number("worth", 1),
@@ -188,7 +188,7 @@
                 "one of `servers`, `file` and `discovery`");
         }
         if (!view.has("classes") && !view.has("default")) {
-            faults.add(view.place(), view.path(), "no request can be made of it", "`classes:`, or `default:`");
+            faults.add(view.place(), view.path(), "no request can use this call", "`classes:`, or `default:`");
         }
         List<Server> servers = ServerListReader.read(view, "servers", faults);
         Path list = NodeConfigReader.listFilePath(view, file.toAbsolutePath().getParent(), faults);
@@ -198,57 +198,57 @@
             known = listed == null ? List.of() : listed;
         }
         if (!view.has("port") && !view.has("rpc-port")) {
-            faults.add(view.place(), view.path(), "the application reaches it nowhere",
+            faults.add(view.place(), view.path(), "the call has no local port",
                 "`port:` for HTTP, `rpc-port:` for MessagePack-RPC, or both");
         }
-        spoken(view, "classes", "port", "rpc-port");
+        checkProtocols(view, "classes", "port", "rpc-port");
         String key = list == null ? "servers" : "file";
-        circles(view, key, known, inbound, inboundRpc);
-        reachable(view, key, known);
+        checkLoops(view, key, known, inbound, inboundRpc);
+        checkServerProtocols(view, key, known);
         Pool pool = NodeConfigReader.poolSettings(name, view, servers, list, view.address("discovery"), limits, faults);
-        checkWholeBodiesFit(view, "classes", view, pool);
+        checkHeldBodies(view, "classes", view, pool);
         return new Call(name, view, new Ports(view.port("port"), view.port("rpc-port")), pool, sources == 0,
             served(view, "classes", view.section("default"), view.has("default")), others(view));
     }
 
-    /** Bodies of a pool that any procedure leads to are held whole. */
-    private void checkWholeBodiesFit(ConfigView view, String classes, ConfigView bounds, Pool pool) {
+    /** Bodies for a pool that any procedure leads to are buffered completely, so the largest body must fit. */
+    private void checkHeldBodies(ConfigView view, String classes, ConfigView bounds, Pool pool) {
         if (view.named(classes).values().stream().anyMatch(c -> c.has("procedures"))) {
             NodeConfigReader.checkWholeBodiesFit(bounds, pool, limits, faults);
         }
     }
 
-    /** That servers speak what the classes of a call are asked by. */
-    private void reachable(ConfigView view, String key, List<Server> servers) {
+    /** Checks that each server has an address for every protocol that the classes of the call use. */
+    private void checkServerProtocols(ConfigView view, String key, List<Server> servers) {
         boolean http = view.has("default") || view.named("classes").values().stream().anyMatch(c -> c.has("paths"));
         boolean rpc = view.named("classes").values().stream().anyMatch(c -> c.has("procedures"));
         for (Server server : servers) {
             if (http && server.address() == null || rpc && server.rpc() == null) {
-                faults.add(view.place(key), view.path(key), "the server " + server.displayAddresses() + " does not speak "
-                    + (http && server.address() == null ? "HTTP" : "MessagePack-RPC") + ", as a class here does",
+                faults.add(view.place(key), view.path(key), "the server " + server.displayAddresses() + " has no "
+                    + (http && server.address() == null ? "HTTP" : "MessagePack-RPC") + " address, which a class here needs",
                     http && server.address() == null ? "its `address`" : "its `rpc` address");
             }
         }
         if (rpc && view.has("discovery")) {
-            faults.add(view.place("discovery"), view.path("discovery"), "discovery tells HTTP addresses only, and a class here "
+            faults.add(view.place("discovery"), view.path("discovery"), "discovery gives HTTP addresses only, but a class here "
                 + "has `procedures`", "`servers` or `file`, with `rpc` addresses");
         }
     }
 
-    private static boolean reaches(Server server, int port) {
+    private static boolean hasLoopbackPort(Server server, int port) {
         return port != 0 && server.addresses().stream().anyMatch(a -> a.reaches(new HostPort("127.0.0.1", port)));
     }
 
-    private void circles(ConfigView view, String key, List<Server> servers, HostPort... inbound) {
+    private void checkLoops(ConfigView view, String key, List<Server> servers, HostPort... inbound) {
         for (Server server : servers) {
             boolean own = server.addresses().stream().anyMatch(a -> Stream.of(inbound).filter(Objects::nonNull)
                 .anyMatch(a::reaches));
             for (ConfigView call : root.named("calls").values()) {
-                own |= reaches(server, call.port("port")) || reaches(server, call.port("rpc-port"));
+                own |= hasLoopbackPort(server, call.port("port")) || hasLoopbackPort(server, call.port("rpc-port"));
             }
             if (own) {
                 faults.add(view.place(key), view.path(key), "the server " + server.displayAddresses()
-                    + " is this application's own node: calls would go round in a circle",
+                    + " is this application's own node: calls would loop",
                     "the address of the servers themselves");
             }
         }
--- a/src/main/java/onyxpaddle/sidecar/DescriptionShape.java
+++ b/src/main/java/onyxpaddle/sidecar/DescriptionShape.java
@@ -15,10 +15,10 @@
 /** The keys of an application's description. */
 final class DescriptionShape {
     private static final Section CLASS = section(
-        optional("paths", listOf(plain(Kind.PATH)), "none", "the starts of the paths, by whole segments"),
+        optional("paths", listOf(plain(Kind.PATH)), "none", "path prefixes, matched by whole segments"),
         optional("procedures", listOf(plain(Kind.PROCEDURE)), "none",
-            "the procedures of MessagePack-RPC; `*` at the end stands for all that begin so"),
-        optional("methods", listOf(plain(Kind.METHOD)), "any", "the methods"),
+            "MessagePack-RPC procedures; a final `*` matches all names with that prefix"),
+        optional("methods", listOf(plain(Kind.METHOD)), "any", "HTTP methods"),
         NodeSchema.EFFECT, NodeSchema.DEADLINE, NodeSchema.AIM, NodeSchema.WORTH, NodeSchema.LATE_WORTH,
         NodeSchema.KEY_MEMORY, NodeSchema.RETRY);
 
@@ -28,11 +28,11 @@
     private static final Key CLASSES = optional("classes", new MapOf(Kind.LABEL, CLASS, false), "none",
         "the classes of these calls");
     private static final Key OTHERS = optional("default", DEFAULT, "they are answered 404",
-        "what requests for all other paths are; they are unsafe to repeat");
+        "the class of requests for all other paths; they are unsafe to repeat");
 
     private static final Section CALL = section(
-        optional("port", plain(Kind.PORT), "none", "where the application reaches it by HTTP, on 127.0.0.1"),
-        optional("rpc-port", plain(Kind.PORT), "none", "where it reaches it by MessagePack-RPC, on 127.0.0.1"),
+        optional("port", plain(Kind.PORT), "none", "the port on 127.0.0.1 that the application calls by HTTP"),
+        optional("rpc-port", plain(Kind.PORT), "none", "the port on 127.0.0.1 that the application calls by MessagePack-RPC"),
         NodeSchema.SERVER_LIST, NodeSchema.FILE, NodeSchema.DISCOVERY, CLASSES, OTHERS,
         NodeSchema.CONNECT_TIMEOUT, NodeSchema.KEEP_ALIVE, NodeSchema.IDLE, NodeSchema.ATTEMPTS, NodeSchema.IN_FLIGHT,
         NodeSchema.BODY, NodeSchema.HELD, NodeSchema.RPC);
@@ -41,18 +41,18 @@
         NodeSchema.BODY, NodeSchema.HELD, NodeSchema.CONNECT_TIMEOUT, NodeSchema.KEEP_ALIVE, NodeSchema.IDLE, NodeSchema.RPC);
 
     static final Section ALL = section(
-        required("application", plain(Kind.LABEL), "its name, on this machine and to those who call it"),
-        optional("tenant", plain(Kind.NAME), "none", "whose requests it serves"),
-        optional("port", plain(Kind.PORT), "none", "where the application itself listens for HTTP, on 127.0.0.1"),
-        optional("inbound", plain(Kind.ADDRESS), "none", "where its callers connect by HTTP: the node's address before it"),
-        optional("rpc-port", plain(Kind.PORT), "none", "where the application listens for MessagePack-RPC, on 127.0.0.1"),
-        optional("inbound-rpc", plain(Kind.ADDRESS), "none", "where its callers connect by MessagePack-RPC"),
+        required("application", plain(Kind.LABEL), "its name, on this machine and for its callers"),
+        optional("tenant", plain(Kind.NAME), "none", "the tenant whose requests it serves"),
+        optional("port", plain(Kind.PORT), "none", "the port on 127.0.0.1 where the application itself listens for HTTP"),
+        optional("inbound", plain(Kind.ADDRESS), "none", "the address of the node where callers connect by HTTP"),
+        optional("rpc-port", plain(Kind.PORT), "none", "the port on 127.0.0.1 where the application listens for MessagePack-RPC"),
+        optional("inbound-rpc", plain(Kind.ADDRESS), "none", "the address of the node where callers connect by MessagePack-RPC"),
         optional("serves", new MapOf(Kind.LABEL, CLASS, false), "none", "the classes of requests that it serves"),
         OTHERS,
         optional("calls", new MapOf(Kind.LABEL, CALL, false), "none",
-            "what it calls: `servers`, `file` or `discovery`, or else the application of that name on this machine"),
+            "what it calls: `servers`, `file` or `discovery`; without them, the application of that name on this machine"),
         NodeSchema.ADMIN, NodeSchema.HANDOVER,
-        optional("limits", LIMITS, "see its keys", "what the node may hold, and what the application bears"));
+        optional("limits", LIMITS, "see its keys", "resource limits of the node and load limits of the application"));
 
     private DescriptionShape() {
     }
--- a/src/main/java/onyxpaddle/sidecar/Explanation.java
+++ b/src/main/java/onyxpaddle/sidecar/Explanation.java
@@ -17,15 +17,15 @@
 import onyxpaddle.route.Route;
 import onyxpaddle.route.RouteTable;
 
-/** What becomes of one request under a configuration, and why, as lines `what: value`. */
+/** Explains how a node with a given configuration handles one request, as lines `property: value`. */
 final class Explanation {
     private Explanation() {
     }
 
     /**
-     * Explains it; the URL's port chooses the listener, and without one the listener {@code inbound}, or the first.
+     * Explains a request. The URL's port selects the listener; without a port it is the listener {@code inbound}, or else the first.
      *
-     * @param headers by lower-case names
+     * @param headers keyed by lower-case name
      */
     static Map<String, String> of(NodeConfig config, String method, URI url, Map<String, String> headers) {
         Map<String, String> lines = new LinkedHashMap<>();
@@ -45,16 +45,16 @@
         List<Route> routes = config.routes().stream().filter(r -> r.listener().equals(listener.name())).toList();
         Route route = new RouteTable(routes).find(host, path, method, header);
         if (route == null) {
-            lines.put("answer", Route.METHODS.contains(method) ? "404 at once: no route holds"
-                : "501 at once: the node routes no " + method);
+            lines.put("answer", Route.METHODS.contains(method) ? "404 at once: no route matches"
+                : "501 at once: the node does not route the method " + method);
         } else {
-            taken(lines, config, route, path, url, headers);
+            matched(lines, config, route, path, url, headers);
         }
         for (Route other : routes) {
             if (other != route) {
                 String miss = RouteTable.mismatch(other, host, path, method, header);
-                lines.put("not " + other.name(), miss != null ? miss : "holds too, but " + route.name() + " ("
-                    + route.conditions() + ") goes before " + other.conditions());
+                lines.put("not " + other.name(), miss != null ? miss : "matches too, but " + route.name() + " ("
+                    + route.conditions() + ") takes precedence over " + other.conditions());
             }
         }
         return lines;
@@ -66,27 +66,27 @@
         List<Procedure> all = config.procedures().stream().filter(p -> p.listener().equals(listener.name())).toList();
         Procedure found = new ProcedureTable(all).find(name);
         if (!method.equals("CALL") || found == null) {
-            lines.put("answer", !method.equals("CALL") ? "none: callers here speak MessagePack-RPC; ask with CALL rpc://HOST:PORT/NAME"
-                : "the error no-method at once: no procedure holds for `" + name + "`");
+            lines.put("answer", !method.equals("CALL") ? "none: a MessagePack-RPC listener; use CALL rpc://HOST:PORT/NAME"
+                : "the error no-method at once: no procedure matches `" + name + "`");
             return;
         }
         RequestClass c = config.classes().get(found.requestClass());
         Pool pool = config.pools().get(found.pool());
         lines.put("procedure", found.name() + " (" + found.pattern() + ")");
         lines.put("pool", pool.name() + ": " + servers(pool));
-        lines.put("mapped", found.path() == null ? "to no path: to servers of MessagePack-RPC only"
-            : "to POST " + found.mapped(name) + " at servers of HTTP only");
+        lines.put("mapped", found.path() == null ? "to no path: MessagePack-RPC servers only"
+            : "to POST " + found.mapped(name) + " for HTTP-only servers");
         lines.put("class", c.name());
         lines.put("effect", c.effect().name().toLowerCase(Locale.ROOT)
             + (c.effect() == Effect.KEYED ? ", unsafe without a key in its envelope" : ""));
         lines.put("deadline", Units.formatSpan(c.deadline()) + ", or `expires` of its envelope if that is sooner");
         lines.put("aim", Units.formatSpan(c.aim()));
-        lines.put("attempts", "at most " + pool.attempts() + (c.retry() ? "" : ", a further one only if all before never ran"));
+        lines.put("attempts", "at most " + pool.attempts() + (c.retry() ? "" : ", a further one only if no earlier one was executed"));
         lines.put("largest parameters", Units.formatSize(pool.body()));
         for (Procedure other : all) {
             if (other != found) {
                 lines.put("not " + other.name(), new ProcedureTable(List.of(other)).find(name) == null
-                    ? "is of " + other.pattern() : "holds too, but " + found.pattern() + " is longer");
+                    ? "matches only " + other.pattern() : "matches too, but " + found.pattern() + " is longer");
             }
         }
     }
@@ -99,7 +99,7 @@
         return config.listeners().getOrDefault("inbound", config.listeners().values().iterator().next());
     }
 
-    private static void taken(Map<String, String> lines, NodeConfig config, Route route, String path, URI url,
+    private static void matched(Map<String, String> lines, NodeConfig config, Route route, String path, URI url,
             Map<String, String> headers) {
         RequestClass c = config.classes().get(route.requestClass());
         Pool pool = config.pools().get(route.pool());
@@ -113,16 +113,16 @@
         lines.put("deadline", Units.formatSpan(c.deadline()) + (headers.containsKey("x-expires-in")
             ? ", or X-Expires-In if that is sooner" : ""));
         lines.put("aim", Units.formatSpan(c.aim()));
-        boolean again = c.retry() && !unkeyed;
-        lines.put("attempts", "at most " + pool.attempts() + (again ? "" : ", a further one only if all before never ran"));
-        lines.put("refused", pool.inFlight() == 0 ? "never for what is in flight"
+        boolean retried = c.retry() && !unkeyed;
+        lines.put("attempts", "at most " + pool.attempts() + (retried ? "" : ", a further one only if no earlier one was executed"));
+        lines.put("refused", pool.inFlight() == 0 ? "never because of requests in flight"
             : "503 at once with " + pool.inFlight() + " in flight");
         lines.put("largest body", Units.formatSize(pool.body()));
     }
 
     private static String servers(Pool pool) {
         return pool.file() != null ? "the servers in " + pool.file()
-            : pool.discovery() != null ? "what discovery at " + pool.discovery() + " names"
+            : pool.discovery() != null ? "the servers from discovery at " + pool.discovery()
             : String.join(", ", pool.servers().stream().map(s -> s.displayAddresses()).toList());
     }
 }
--- a/src/main/java/onyxpaddle/sidecar/JsonSchema.java
+++ b/src/main/java/onyxpaddle/sidecar/JsonSchema.java
@@ -12,7 +12,7 @@
 import onyxpaddle.config.Schema.Section;
 import onyxpaddle.config.Schema.ScalarOrSection;
 
-/** A shape as JSON Schema (draft 2020-12), for editors. It tells forms; what makes no sense only the check finds. */
+/** Writes a shape as JSON Schema (draft 2020-12), for editors. It covers syntax only; semantic faults are found by the check. */
 final class JsonSchema {
     private final JsonGenerator json;
 
@@ -26,7 +26,7 @@
             json.writeStartObject();
             json.writeStringField("$schema", "https://json-schema.org/draft/2020-12/schema");
             json.writeStringField("title", title);
-            new JsonSchema(json).fields(shape);
+            new JsonSchema(json).writeFields(shape);
             json.writeEndObject();
         } catch (IOException e) {
             throw new java.io.UncheckedIOException(e);
@@ -34,40 +34,40 @@
         return text + "\n";
     }
 
-    private void object(Schema shape, Key key) throws IOException {
+    private void writeObject(Schema shape, Key key) throws IOException {
         json.writeStartObject();
         if (key != null) {
             json.writeStringField("description", key.description() + (key.defaultText() == null ? "" : " (without it: "
                 + key.defaultText() + ")"));
         }
-        fields(shape);
+        writeFields(shape);
         json.writeEndObject();
     }
 
-    private void fields(Schema shape) throws IOException {
+    private void writeFields(Schema shape) throws IOException {
         if (shape instanceof ScalarSchema plain) {
-            plain(plain);
+            writePlain(plain);
         } else if (shape instanceof ListOf list) {
             json.writeStringField("type", "array");
             json.writeNumberField("minItems", list.mayBeEmpty() ? 0 : 1);
             json.writeFieldName("items");
-            object(list.item(), null);
+            writeObject(list.item(), null);
         } else if (shape instanceof MapOf map) {
             json.writeStringField("type", "object");
             json.writeNumberField("minProperties", map.mayBeEmpty() ? 0 : 1);
             json.writeFieldName("additionalProperties");
-            object(map.item(), null);
+            writeObject(map.item(), null);
         } else if (shape instanceof Section section) {
-            section(section);
+            writeSection(section);
         } else if (shape instanceof ScalarOrSection either) {
             json.writeArrayFieldStart("anyOf");
-            object(either.scalar(), null);
-            object(either.section(), null);
+            writeObject(either.scalar(), null);
+            writeObject(either.section(), null);
             json.writeEndArray();
         }
     }
 
-    private void section(Section section) throws IOException {
+    private void writeSection(Section section) throws IOException {
         json.writeStringField("type", "object");
         json.writeBooleanField("additionalProperties", false);
         json.writeArrayFieldStart("required");
@@ -80,20 +80,20 @@
         json.writeObjectFieldStart("properties");
         for (Key key : section.keys()) {
             json.writeFieldName(key.name());
-            object(key.schema(), key);
+            writeObject(key.schema(), key);
         }
         json.writeEndObject();
     }
 
-    private void plain(ScalarSchema plain) throws IOException {
+    private void writePlain(ScalarSchema plain) throws IOException {
         switch (plain.kind()) {
             case PORT, COUNT -> {
                 json.writeStringField("type", "integer");
-                bounds(plain.kind() == Schema.Kind.PORT ? Schema.bounded(plain.kind(), 1, 65535) : plain);
+                writeBounds(plain.kind() == Schema.Kind.PORT ? Schema.bounded(plain.kind(), 1, 65535) : plain);
             }
             case NUMBER -> {
                 json.writeStringField("type", "number");
-                bounds(plain);
+                writeBounds(plain);
             }
             case FLAG -> json.writeStringField("type", "boolean");
             case WORD -> {
@@ -103,22 +103,22 @@
                 }
                 json.writeEndArray();
             }
-            case SPAN -> pattern("^[0-9]+(\\.[0-9]+)? ?(us|ms|s|min|h)$");
-            case SIZE -> pattern("^[0-9]+(\\.[0-9]+)? ?(B|KiB|MiB|GiB)$");
-            case PATH -> pattern("^/");
-            case NAME, LABEL -> pattern("^[a-z0-9]([a-z0-9-]*[a-z0-9])?$");
+            case SPAN -> writePattern("^[0-9]+(\\.[0-9]+)? ?(us|ms|s|min|h)$");
+            case SIZE -> writePattern("^[0-9]+(\\.[0-9]+)? ?(B|KiB|MiB|GiB)$");
+            case PATH -> writePattern("^/");
+            case NAME, LABEL -> writePattern("^[a-z0-9]([a-z0-9-]*[a-z0-9])?$");
             default -> json.writeStringField("type", "string");
         }
     }
 
-    private void bounds(ScalarSchema plain) throws IOException {
+    private void writeBounds(ScalarSchema plain) throws IOException {
         if (plain.min() > -Double.MAX_VALUE) {
             json.writeNumberField("minimum", plain.min());
             json.writeNumberField("maximum", plain.max());
         }
     }
 
-    private void pattern(String pattern) throws IOException {
+    private void writePattern(String pattern) throws IOException {
         json.writeStringField("type", "string");
         json.writeStringField("pattern", pattern);
     }
--- a/src/main/java/onyxpaddle/sidecar/LoopbackTrial.java
+++ b/src/main/java/onyxpaddle/sidecar/LoopbackTrial.java
@@ -38,35 +38,35 @@
 import org.msgpack.value.ValueFactory;
 
 /**
- * A description tried on loopback: the application and all that it calls are stand-ins, all ports are ones that are
- * free just now, and the node between them is the real one.
+ * Tries out a description on loopback: the application and the services it calls are stand-ins, the ports are free ones, and the
+ * node between them is a real one.
  */
 final class LoopbackTrial implements AutoCloseable {
-    private static final Duration PATIENCE = Duration.ofSeconds(10);
-    private static final int MOST_STAND_INS = 5;
+    private static final Duration TIMEOUT = Duration.ofSeconds(10);
+    private static final int MAX_STAND_INS = 5;
     private static final String NO_CLASS = "(no class)";
 
-    /** One request of the trial; {@code node}: whether the node itself gave the answer. */
+    /** One request of the trial and its answer; {@code node}: whether the node itself answered. */
     record TrialRequest(String listener, String requestClass, String method, String path, int status, boolean node,
             String by, long micros) {
     }
 
     private final List<AutoCloseable> standIns = new ArrayList<>();
     private final HttpClient client = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1)
-        .connectTimeout(PATIENCE).build();
+        .connectTimeout(TIMEOUT).build();
     private final Description description;
     private final Sidecar node;
     final String configuration;
 
-    LoopbackTrial(Description sound) throws Exception {
+    LoopbackTrial(Description valid) throws Exception {
         try {
-            description = onLoopback(sound);
-            configuration = ConfigGenerator.text(description, List.of(description), Path.of("."));
+            description = onLoopback(valid);
+            configuration = ConfigGenerator.generate(description, List.of(description), Path.of("."));
             Faults faults = new Faults();
             NodeConfig config = NodeConfigReader.read(SourceFile.parse("trial", configuration, faults), Path.of("."),
                 MachineLimits.UNKNOWN, faults);
             if (faults.any()) {
-                throw new IllegalStateException("the configuration made of a sound description is at fault: "
+                throw new IllegalStateException("the configuration generated from a valid description has faults: "
                     + faults.list());
             }
             node = Sidecar.start(config);
@@ -76,34 +76,34 @@
         }
     }
 
-    /** A stand-in that speaks what is asked of it, as it stands in a list. */
-    private Server standIn(String name, boolean http, boolean rpc) throws Exception {
-        ExecutionCounter ledger = new ExecutionCounter();
+    /** Starts a stand-in for the given protocols and returns its entry in a list of servers. */
+    private Server startStandIn(String name, boolean http, boolean rpc) throws Exception {
+        ExecutionCounter executions = new ExecutionCounter();
         HostPort address = null;
         HostPort rpcAddress = null;
         if (http) {
-            StandInServer server = new StandInServer(name, 0, ledger);
+            StandInServer server = new StandInServer(name, 0, executions);
             standIns.add(server);
             address = HostPort.parse(server.hostPort());
         }
         if (rpc) {
-            StandInRpcServer server = new StandInRpcServer(name, 0, ledger);
+            StandInRpcServer server = new StandInRpcServer(name, 0, executions);
             standIns.add(server);
             rpcAddress = HostPort.parse(server.hostPort());
         }
         return new Server(name, address, 1, "", false, rpcAddress);
     }
 
-    /** The same application, with stand-ins in the place of all that it needs. */
+    /** Copies the description, with stand-ins for the application and the services it calls. */
     private Description onLoopback(Description of) throws Exception {
-        Server application = standIn(of.name(), of.ports().http() != 0, of.ports().rpc() != 0);
+        Server application = startStandIn(of.name(), of.ports().http() != 0, of.ports().rpc() != 0);
         Set<Integer> taken = new TreeSet<>();
         Map<String, Call> calls = new LinkedHashMap<>();
         for (Call call : of.calls().values()) {
             List<Server> servers = new ArrayList<>();
-            int count = Math.max(1, Math.min(MOST_STAND_INS, call.pool().servers().size()));
+            int count = Math.max(1, Math.min(MAX_STAND_INS, call.pool().servers().size()));
             for (int i = 0; i < count; i++) {
-                servers.add(standIn(call.name() + (count > 1 ? "-" + (i + 1) : ""), call.ports().http() != 0,
+                servers.add(startStandIn(call.name() + (count > 1 ? "-" + (i + 1) : ""), call.ports().http() != 0,
                     call.ports().rpc() != 0));
             }
             calls.put(call.name(), new Call(call.name(), call.at(), freePorts(call.ports(), taken), call.pool().withServers(servers),
@@ -112,7 +112,7 @@
         }
         Ports inbound = freePorts(new Ports(of.inbound() == null ? 0 : 1, of.inboundRpc() == null ? 0 : 1), taken);
         return new Description(of.file(), of.at(), of.name(), of.tenant(), new Ports(port(application.address()),
-            port(application.rpc())), here(inbound.http()), here(inbound.rpc()), null, null, of.limits(),
+            port(application.rpc())), loopback(inbound.http()), loopback(inbound.rpc()), null, null, of.limits(),
             of.own().withServers(List.of(application)), of.serves(), of.others(), calls);
     }
 
@@ -120,11 +120,11 @@
         return address == null ? 0 : address.port();
     }
 
-    private static HostPort here(int port) {
+    private static HostPort loopback(int port) {
         return port == 0 ? null : new HostPort("127.0.0.1", port);
     }
 
-    /** Others in the place of those that there are. */
+    /** A free port for each protocol that has a port. */
     private static Ports freePorts(Ports of, Set<Integer> taken) throws IOException {
         return new Ports(of.http() == 0 ? 0 : freePort(taken), of.rpc() == 0 ? 0 : freePort(taken));
     }
@@ -139,19 +139,19 @@
         }
     }
 
-    /** Asks for each path of each class once, and for one that no class has. */
-    List<TrialRequest> ask() throws Exception {
-        List<TrialRequest> asked = new ArrayList<>();
-        ask(asked, "inbound", port(description.inbound()), description.serves(), description.others() != null);
-        call(asked, "inbound--rpc", port(description.inboundRpc()), description.serves());
+    /** Sends a request for each path of each class, and one for a path of no class. */
+    List<TrialRequest> sendRequests() throws Exception {
+        List<TrialRequest> results = new ArrayList<>();
+        sendRequests(results, "inbound", port(description.inbound()), description.serves(), description.others() != null);
+        callProcedures(results, "inbound--rpc", port(description.inboundRpc()), description.serves());
         for (Call call : description.calls().values()) {
-            ask(asked, "call-" + call.name(), call.ports().http(), call.classes(), call.others() != null);
-            call(asked, "call-" + call.name() + "--rpc", call.ports().rpc(), call.classes());
+            sendRequests(results, "call-" + call.name(), call.ports().http(), call.classes(), call.others() != null);
+            callProcedures(results, "call-" + call.name() + "--rpc", call.ports().rpc(), call.classes());
         }
-        return asked;
+        return results;
     }
 
-    private void ask(List<TrialRequest> asked, String listener, int port, Map<String, Served> classes, boolean others)
+    private void sendRequests(List<TrialRequest> results, String listener, int port, Map<String, Served> classes, boolean others)
             throws Exception {
         if (port == 0) {
             return;
@@ -161,25 +161,26 @@
             String method = served.methods().isEmpty()
                 ? served.requestClass().effect() == Effect.SAFE ? "GET" : "POST" : new TreeSet<>(served.methods()).first();
             for (String path : served.paths()) {
-                asked.add(ask(listener, port, c.getKey(), method, path, served.requestClass().effect()));
+                results.add(send(listener, port, c.getKey(), method, path, served.requestClass().effect()));
             }
         }
-        asked.add(ask(listener, port, others ? "(default)" : NO_CLASS, "GET", "/no-class-has-this", Effect.SAFE));
+        results.add(send(listener, port, others ? "(default)" : NO_CLASS, "GET", "/no-class-has-this", Effect.SAFE));
     }
 
-    /** Calls each procedure of each class once, and one that no class has. */
-    private static void call(List<TrialRequest> asked, String listener, int port, Map<String, Served> classes) throws Exception {
+    /** Calls each procedure of each class, and one of no class. */
+    private static void callProcedures(List<TrialRequest> results, String listener, int port, Map<String, Served> classes)
+            throws Exception {
         if (port == 0) {
             return;
         }
         try (RpcCaller caller = new RpcCaller(new InetSocketAddress("127.0.0.1", port))) {
             for (Map.Entry<String, Served> c : classes.entrySet()) {
                 for (String procedure : c.getValue().procedures()) {
-                    asked.add(call(caller, listener, c.getKey(), procedure.replace("*", "trial")));
+                    results.add(call(caller, listener, c.getKey(), procedure.replace("*", "trial")));
                 }
             }
             if (classes.values().stream().noneMatch(c -> c.procedures().contains("*"))) {
-                asked.add(call(caller, listener, NO_CLASS, "no-class-has-this"));
+                results.add(call(caller, listener, NO_CLASS, "no-class-has-this"));
             }
         }
     }
@@ -194,11 +195,11 @@
             by == null ? "the node" : by.asStringValue().asString(), (System.nanoTime() - start) / 1000);
     }
 
-    private TrialRequest ask(String listener, int port, String requestClass, String method, String path, Effect effect)
+    private TrialRequest send(String listener, int port, String requestClass, String method, String path, Effect effect)
             throws Exception {
         boolean body = method.equals("POST") || method.equals("PUT") || method.equals("PATCH");
         HttpRequest.Builder request = HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + port + path))
-            .timeout(PATIENCE).method(method, body ? BodyPublishers.ofString("a trial") : BodyPublishers.noBody());
+            .timeout(TIMEOUT).method(method, body ? BodyPublishers.ofString("a trial") : BodyPublishers.noBody());
         if (effect == Effect.KEYED) {
             request.header("Idempotency-Key", "trial-" + System.nanoTime());
         }
@@ -209,20 +210,20 @@
             answer.headers().firstValue("X-Stand-In").orElse("the node"), (System.nanoTime() - start) / 1000);
     }
 
-    /** Whether each request with a class was served, and each without was turned away. */
-    static boolean sound(List<TrialRequest> asked) {
-        return asked.stream().allMatch(a -> a.requestClass().equals(NO_CLASS) ? a.status() == 404 && a.node()
+    /** Whether each request of a class was served, and each request of no class refused by the node. */
+    static boolean allAsExpected(List<TrialRequest> results) {
+        return results.stream().allMatch(a -> a.requestClass().equals(NO_CLASS) ? a.status() == 404 && a.node()
             : a.status() == 200 && !a.node());
     }
 
-    /** Where each side is to be reached, as `name: address`. */
+    /** The address of each listener, by its name. */
     Map<String, String> addresses() {
         Map<String, String> addresses = new LinkedHashMap<>();
         put(addresses, "inbound", description.inbound());
         put(addresses, "inbound--rpc", description.inboundRpc());
         description.calls().values().forEach(c -> {
-            put(addresses, "call-" + c.name(), here(c.ports().http()));
-            put(addresses, "call-" + c.name() + "--rpc", here(c.ports().rpc()));
+            put(addresses, "call-" + c.name(), loopback(c.ports().http()));
+            put(addresses, "call-" + c.name() + "--rpc", loopback(c.ports().rpc()));
         });
         return addresses;
     }
@@ -235,7 +236,7 @@
 
     @Override
     public void close() {
-        // All that was asked is answered: there is nothing to drain.
+        // All requests have been answered, so there is nothing to drain.
         node.stop();
         closeStandIns();
     }
@@ -245,7 +246,7 @@
             try {
                 standIn.close();
             } catch (Exception e) {
-                throw new IllegalStateException("a stand-in does not close", e);
+                throw new IllegalStateException("cannot close a stand-in", e);
             }
         }
     }
--- a/src/main/java/onyxpaddle/sidecar/RpcCommand.java
+++ b/src/main/java/onyxpaddle/sidecar/RpcCommand.java
@@ -27,14 +27,14 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Calls a server or a node by MessagePack-RPC, by hand. */
+/** The command `rpc`: calls a server or a node by MessagePack-RPC from the command line. */
 @Command(name = "rpc", mixinStandardHelpOptions = true, synopsisSubcommandLabel = "COMMAND",
-    description = "Calls a server or a node by MessagePack-RPC, by hand.")
+    description = "Calls a server or a node by MessagePack-RPC.")
 public final class RpcCommand {
     private static final int ANSWERED = 0;
     private static final int CANNOT_RUN = 1;
     private static final int USAGE = 64;
-    /** An error was the answer (EX_UNAVAILABLE of sysexits.h). */
+    /** The answer was an error (EX_UNAVAILABLE of sysexits.h). */
     private static final int ERROR = 69;
 
     @Spec
@@ -43,12 +43,12 @@
     private RpcCommand() {
     }
 
-    /** Runs the tool alone and returns its exit code. */
+    /** Runs the command on its own and returns its exit code. */
     static int run(String[] args, PrintWriter out, PrintWriter err) {
         return CommandRunner.run(line(), args, out, err);
     }
 
-    /** The tool as a part of the program's commands. */
+    /** The command as a subcommand of the program. */
     public static CommandLine line() {
         return new CommandLine(new RpcCommand());
     }
@@ -57,33 +57,33 @@
         description = {"Calls a method and prints its result as JSON; an error is printed to standard error.",
             "Example: lupinmount rpc call 127.0.0.1:7100 patient.read '[\"p-17\"]' --key k1"},
         exitCodeListHeading = "%nExit codes:%n",
-        exitCodeList = {"0:a result came", "69:an error came", "64:wrong usage", "1:cannot run, or no answer in time"})
+        exitCodeList = {"0:the answer was a result", "69:the answer was an error", "64:wrong usage", "1:cannot run, or no answer in time"})
     int call(@Parameters(paramLabel = "ADDRESS", description = "IP and port, as 127.0.0.1:7100") String address,
             @Parameters(paramLabel = "METHOD") String method,
             @Parameters(paramLabel = "JSON-PARAMS", arity = "0..1", defaultValue = "[]",
                 description = "the parameters, a JSON array; default: ${DEFAULT-VALUE}") String params,
-            @Option(names = "--key", description = "in the envelope: the same for each repeat of a call") String key,
-            @Option(names = "--expires", description = "in the envelope: milliseconds that the caller waits") Long expires,
-            @Option(names = "--tenant", description = "in the envelope: whose call it is") String tenant,
-            @Option(names = "--worth", description = "in the envelope: the part of the class's worth, 0 to 1") Double worth,
-            @Option(names = "--retry", description = "in the envelope: the caller has tried before") boolean retry,
-            @Option(names = "--notify", description = "a notification: nothing is answered") boolean notify,
+            @Option(names = "--key", description = "in the envelope: an idempotency key, the same for each repeat of a call") String key,
+            @Option(names = "--expires", description = "in the envelope: how long the caller waits, in milliseconds") Long expires,
+            @Option(names = "--tenant", description = "in the envelope: the tenant of the call") String tenant,
+            @Option(names = "--worth", description = "in the envelope: the worth as a fraction of the class's worth, 0 to 1") Double worth,
+            @Option(names = "--retry", description = "in the envelope: marks the call as a retry") boolean retry,
+            @Option(names = "--notify", description = "send a notification, which is not answered") boolean notify,
             @Option(names = "--timeout", defaultValue = "10", description = "seconds to wait; default: ${DEFAULT-VALUE}") int timeout)
             throws Exception {
         HostPort to = HostPort.parse(address);
         if (to == null) {
             throw new ParameterException(spec.commandLine(), "not an IP and port: " + address + "; such as 127.0.0.1:7100");
         }
-        List<Value> values = new ArrayList<>(json(params));
-        Map<String, Object> said = new LinkedHashMap<>();
-        said.put("key", key);
-        said.put("expires", expires);
-        said.put("tenant", tenant);
-        said.put("worth", worth);
-        said.put("retry", retry ? Boolean.TRUE : null);
-        said.values().removeIf(java.util.Objects::isNull);
-        if (!said.isEmpty()) {
-            values.add(0, RpcCaller.envelope(said.entrySet().stream()
+        List<Value> values = new ArrayList<>(parseParams(params));
+        Map<String, Object> envelope = new LinkedHashMap<>();
+        envelope.put("key", key);
+        envelope.put("expires", expires);
+        envelope.put("tenant", tenant);
+        envelope.put("worth", worth);
+        envelope.put("retry", retry ? Boolean.TRUE : null);
+        envelope.values().removeIf(java.util.Objects::isNull);
+        if (!envelope.isEmpty()) {
+            values.add(0, RpcCaller.envelope(envelope.entrySet().stream()
                 .flatMap(e -> java.util.stream.Stream.of(e.getKey(), e.getValue())).toArray()));
         }
         PrintWriter out = spec.commandLine().getOut();
@@ -98,10 +98,10 @@
                 out.println(reply.result().toJson());
                 return ANSWERED;
             }
-            err.println((reply.nodeErrorCode() != null ? "error of the node: " : "error: ") + reply.error().toJson());
+            err.println((reply.nodeErrorCode() != null ? "node error: " : "error: ") + reply.error().toJson());
             return ERROR;
         } catch (TimeoutException e) {
-            err.println("lupinmount: no answer within " + timeout + " s; whether the call ran is not known");
+            err.println("lupinmount: no answer within " + timeout + " s; it is unknown whether the call was executed");
             return CANNOT_RUN;
         } catch (ExecutionException e) {
             err.println("lupinmount: no answer: " + e.getCause().getMessage());
@@ -109,22 +109,22 @@
         }
     }
 
-    private List<Value> json(String params) throws IOException {
+    private List<Value> parseParams(String params) throws IOException {
         try (JsonParser parser = new JsonFactory().createParser(params)) {
             if (parser.nextToken() != JsonToken.START_ARRAY) {
-                throw new ParameterException(spec.commandLine(), "the parameters are no JSON array: " + params);
+                throw new ParameterException(spec.commandLine(), "the parameters are not a JSON array: " + params);
             }
             Value array = value(parser);
             if (parser.nextToken() != null) {
-                throw new ParameterException(spec.commandLine(), "more stands behind the JSON array: " + params);
+                throw new ParameterException(spec.commandLine(), "unexpected text after the JSON array: " + params);
             }
             return array.asArrayValue().list();
         } catch (JsonProcessingException e) {
-            throw new ParameterException(spec.commandLine(), "the parameters are no JSON: " + e.getOriginalMessage());
+            throw new ParameterException(spec.commandLine(), "the parameters are not valid JSON: " + e.getOriginalMessage());
         }
     }
 
-    /** The value at the parser's token. */
+    /** Converts the JSON value at the parser's current token. */
     private static Value value(JsonParser parser) throws IOException {
         switch (parser.currentToken()) {
             case START_ARRAY -> {
--- a/src/main/java/onyxpaddle/standin/ExecutionCounter.java
+++ b/src/main/java/onyxpaddle/standin/ExecutionCounter.java
@@ -5,33 +5,33 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** What has run at a stand-in, whichever protocol it came by. */
+/** Counts the requests that a stand-in server has executed, over all protocols. */
 public final class ExecutionCounter {
-    private static final int MOST_COUNTED = 1_000_000;
+    private static final int MAX_COUNTED = 1_000_000;
 
     private final Map<String, AtomicInteger> runs = new ConcurrentHashMap<>();
     private final AtomicLong served = new AtomicLong();
 
-    /** One more ran; {@code effect} tells it from others, null where it has no name. */
-    void ran(String effect) {
-        if (effect != null && runs.size() < MOST_COUNTED) {
+    /** Counts an execution; {@code effect} is the identifier of the request, null if it has none. */
+    void countExecution(String effect) {
+        if (effect != null && runs.size() < MAX_COUNTED) {
             runs.computeIfAbsent(effect, e -> new AtomicInteger()).incrementAndGet();
         }
         served.incrementAndGet();
     }
 
-    /** How often the one of that name ran. */
+    /** How often the request with that identifier was executed. */
     public int runs(String effect) {
         AtomicInteger count = runs.get(effect);
         return count == null ? 0 : count.get();
     }
 
-    /** How often each that had a name ran. */
+    /** The number of executions of each request with an identifier. */
     public Map<String, AtomicInteger> allRuns() {
         return runs;
     }
 
-    /** How many ran. */
+    /** The number of all executions. */
     public long served() {
         return served.get();
     }
--- a/src/main/java/onyxpaddle/standin/RpcCaller.java
+++ b/src/main/java/onyxpaddle/standin/RpcCaller.java
@@ -22,23 +22,23 @@
 import org.msgpack.value.ValueFactory;
 
 /**
- * A caller by MessagePack-RPC, over one connection with any number of calls open. It can also misbehave: send any bytes,
- * stop reading, and be broken off.
+ * A MessagePack-RPC client over one connection, with any number of calls open. For tests of faulty clients it can also send
+ * arbitrary bytes, stop reading, and close the connection.
  */
 public final class RpcCaller implements AutoCloseable {
     private static final String ENVELOPE = "lupinmount";
-    private static final int PATIENCE_MS = 10_000;
+    private static final int TIMEOUT_MS = 10_000;
 
-    /** An answer as it came; one of the two is nil. */
+    /** An answer as received; one of the two values is nil. */
     public record Reply(Value error, Value result) {
         public boolean ok() {
             return error.isNilValue();
         }
 
-        /** The code of an error that a node gave by itself; null where it is an application's, or none. */
+        /** The code of an error that a node generated; null for an error of the application or a result. */
         public String nodeErrorCode() {
-            Value own = error.isMapValue() ? error.asMapValue().map().get(ValueFactory.newString(ENVELOPE)) : null;
-            return own == null ? null : own.asMapValue().map().get(ValueFactory.newString("code")).asStringValue().asString();
+            Value nodeError = error.isMapValue() ? error.asMapValue().map().get(ValueFactory.newString(ENVELOPE)) : null;
+            return nodeError == null ? null : nodeError.asMapValue().map().get(ValueFactory.newString("code")).asStringValue().asString();
         }
     }
 
@@ -51,14 +51,14 @@
 
     public RpcCaller(InetSocketAddress to) throws IOException {
         socket.setTcpNoDelay(true);
-        socket.connect(to, PATIENCE_MS);
+        socket.connect(to, TIMEOUT_MS);
         Thread reader = new Thread(this::read, "rpc-caller");
         reader.setDaemon(true);
         reader.start();
     }
 
     private void read() {
-        IOException why = new IOException("the connection was closed");
+        IOException cause = new IOException("the connection was closed");
         try (MessageUnpacker unpacker = MessagePack.newDefaultUnpacker(new BufferedInputStream(socket.getInputStream()))) {
             while (unpacker.hasNext()) {
                 ArrayValue frame = unpacker.unpackValue().asArrayValue();
@@ -73,24 +73,24 @@
                 }
             }
         } catch (IOException e) {
-            why = e;
+            cause = e;
         } catch (MessagePackException e) {
-            why = new IOException("what came is no answer, or is cut short", e);
+            cause = new IOException("malformed or truncated answer", e);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
         for (CompletableFuture<Reply> call : open.values()) {
-            call.completeExceptionally(why);
+            call.completeExceptionally(cause);
         }
         closed.complete(null);
     }
 
-    /** Calls, with these parameters. */
+    /** Sends a call with the next msgid. */
     public CompletableFuture<Reply> call(String method, Value... params) {
         return call(nextId.getAndIncrement(), method, params);
     }
 
-    /** Calls by that msgid. */
+    /** Sends a call with the given msgid. */
     public CompletableFuture<Reply> call(long id, String method, Value... params) {
         CompletableFuture<Reply> reply = new CompletableFuture<>();
         open.put(id, reply);
@@ -101,16 +101,16 @@
         return reply;
     }
 
-    /** Calls, and waits for the answer. */
+    /** Sends a call and waits for the answer. */
     public Reply callAndWait(String method, Value... params) throws Exception {
-        return call(method, params).get(PATIENCE_MS, TimeUnit.MILLISECONDS);
+        return call(method, params).get(TIMEOUT_MS, TimeUnit.MILLISECONDS);
     }
 
     public void sendNotification(String method, Value... params) {
         send(frame(-1, method, params));
     }
 
-    /** A call's bytes, or a notification's where the id is negative. */
+    /** The frame of a call, or of a notification if the id is negative. */
     public static byte[] frame(long id, String method, Value... params) {
         try (MessageBufferPacker packer = MessagePack.newDefaultBufferPacker()) {
             if (id < 0) {
@@ -125,7 +125,7 @@
         }
     }
 
-    /** Sends any bytes. */
+    /** Sends the bytes as they are. */
     public void send(byte[] bytes) {
         try {
             synchronized (socket) {
@@ -136,17 +136,17 @@
         }
     }
 
-    /** From now on it reading no answers, or reads on. */
+    /** Stops or resumes reading answers. */
     public void reading(boolean on) {
         reading = on;
     }
 
-    /** How many answers came that no call waited for. */
+    /** The number of answers that belong to no open call. */
     public int unexpectedReplies() {
         return unexpectedReplies.get();
     }
 
-    /** Done once the other side has closed. */
+    /** Completes when the connection is closed. */
     public CompletableFuture<Void> closed() {
         return closed;
     }
@@ -156,15 +156,15 @@
         socket.close();
     }
 
-    /** An envelope, of names and what they say: texts, numbers or flags. */
+    /** An envelope from alternating names and values, which may be texts, numbers or flags. */
     public static Value envelope(Object... pairs) {
-        Value[] said = Arrays.stream(pairs).map(RpcCaller::value).toArray(Value[]::new);
-        return ValueFactory.newMap(ValueFactory.newString(ENVELOPE), ValueFactory.newMap(said));
+        Value[] values = Arrays.stream(pairs).map(RpcCaller::value).toArray(Value[]::new);
+        return ValueFactory.newMap(ValueFactory.newString(ENVELOPE), ValueFactory.newMap(values));
     }
 
-    private static Value value(Object of) {
-        return of instanceof String text ? ValueFactory.newString(text) : of instanceof Boolean flag
-            ? ValueFactory.newBoolean(flag) : of instanceof Double number ? ValueFactory.newFloat(number)
-            : ValueFactory.newInteger(((Number) of).longValue());
+    private static Value value(Object object) {
+        return object instanceof String text ? ValueFactory.newString(text) : object instanceof Boolean flag
+            ? ValueFactory.newBoolean(flag) : object instanceof Double number ? ValueFactory.newFloat(number)
+            : ValueFactory.newInteger(((Number) object).longValue());
     }
 }
--- a/src/main/java/onyxpaddle/standin/StandIn.java
+++ b/src/main/java/onyxpaddle/standin/StandIn.java
@@ -18,14 +18,14 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * What all stand-ins share, whatever they speak: a listener on loopback, a ledger of what ran, a delay, scripted faults, and
- * standing still.
+ * Base class of the stand-in servers: a loopback listener, a counter of executed requests, an answer delay, scripted faults, and
+ * freezing.
  */
 abstract class StandIn<S extends StandIn<S>> implements AutoCloseable {
-    private static final long THAW_MS = 5;
+    private static final long RECHECK_MS = 5;
 
     final String name;
-    final ExecutionCounter ledger;
+    final ExecutionCounter executions;
     final ChannelGroup open = new DefaultChannelGroup(GlobalEventExecutor.INSTANCE);
     volatile boolean refuses;
     volatile FaultScript faults = FaultScript.none();
@@ -36,18 +36,18 @@
     private volatile boolean frozen;
     private volatile boolean held;
 
-    StandIn(String name, ExecutionCounter ledger) {
+    StandIn(String name, ExecutionCounter executions) {
         this.name = name;
-        this.ledger = ledger;
+        this.executions = executions;
     }
 
-    /** This one, by its own type. */
+    /** Returns this object as its own type. */
     abstract S self();
 
-    /** What speaks on a new connection. */
+    /** The handlers for a new connection. */
     abstract ChannelHandler[] handlers();
 
-    /** {@code port}: 0 for one that the system chooses. */
+    /** {@code port}: 0 for a free one. */
     final void listen(int port) throws Exception {
         try {
             listener = new ServerBootstrap().group(group).channel(NioServerSocketChannel.class)
@@ -76,56 +76,56 @@
         return "127.0.0.1:" + address().getPort();
     }
 
-    /** Each answer comes after so many milliseconds, and up to so many more. */
+    /** Delays each answer by {@code millis} plus a random part of {@code jitter}. */
     public final S delay(long millis, long jitter) {
         delayMillis = millis;
         jitterMillis = jitter;
         return self();
     }
 
-    /** What goes wrong with its answers from now on. */
+    /** Sets the faults of further answers. */
     public final S faults(FaultScript script) {
         faults = script;
         return self();
     }
 
-    /** From now on it reads and answers nothing, as a process that has stopped; or it goes on where it stopped. */
+    /** Stops all reading and answering, like a stopped process, or resumes it. */
     public final S frozen(boolean on) {
         frozen = on;
         open.forEach(channel -> channel.config().setAutoRead(!on));
         return self();
     }
 
-    /** From now on it reads and runs requests and keeps the answers to itself; or it gives them. */
+    /** Holds back answers while requests are still read and executed, or releases them. */
     public final S held(boolean on) {
         held = on;
         return self();
     }
 
-    /** From now on it turns each request away unseen, or serves again. */
+    /** Refuses each request without executing it, or serves again. */
     public final S refuses(boolean on) {
         refuses = on;
         return self();
     }
 
-    /** What has run, here and at those that share the ledger. */
-    public final ExecutionCounter ledger() {
-        return ledger;
+    /** The counter of executed requests, which several stand-ins may share. */
+    public final ExecutionCounter executions() {
+        return executions;
     }
 
-    /** How long the next answer takes, in milliseconds. */
+    /** The delay of the next answer in milliseconds. */
     final long nextDelay() {
         return delayMillis + (jitterMillis > 0 ? ThreadLocalRandom.current().nextLong(jitterMillis + 1) : 0);
     }
 
-    /** Does it after so long, and not while it stands still. */
-    final void after(ChannelHandlerContext context, long millis, Runnable then) {
+    /** Runs the action after the delay, but not while answers are frozen or held. */
+    final void after(ChannelHandlerContext context, long millis, Runnable action) {
         if (frozen || held) {
-            context.executor().schedule(() -> after(context, 0, then), THAW_MS, TimeUnit.MILLISECONDS);
+            context.executor().schedule(() -> after(context, 0, action), RECHECK_MS, TimeUnit.MILLISECONDS);
         } else if (millis <= 0) {
-            then.run();
+            action.run();
         } else {
-            context.executor().schedule(() -> after(context, 0, then), millis, TimeUnit.MILLISECONDS);
+            context.executor().schedule(() -> after(context, 0, action), millis, TimeUnit.MILLISECONDS);
         }
     }
 
--- a/src/main/java/onyxpaddle/standin/StandInBgpPeer.java
+++ b/src/main/java/onyxpaddle/standin/StandInBgpPeer.java
@@ -15,14 +15,14 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 
 /**
- * A router by BGP as a speaker's peer, over blocking sockets with a codec of its own: it takes one session after the other, keeps a
- * routing table with the time of each change, and counts what breaks the RFCs. By script it refuses, stays silent, stops reading, sends
- * any bytes, breaks off, or dials itself.
+ * A BGP router as the peer of a speaker, over blocking sockets and with an independent codec. It accepts one session after another,
+ * keeps a routing table with the time of each change, and records violations of the RFCs. On request it refuses connections, stays
+ * silent, stops reading, sends arbitrary bytes, closes the session, or connects to the speaker.
  */
 public final class StandInBgpPeer implements AutoCloseable {
     private static final byte[] MARKER = HexFormat.of().parseHex("ff".repeat(16));
 
-    /** One change of the table: a prefix that came, with its attributes as hex, or went. */
+    /** A change of the table: a prefix announced, with its attributes in hex, or withdrawn. */
     public record Change(long at, String prefix, boolean announced, String attributes) {
     }
 
@@ -30,7 +30,7 @@
     private final int as;
     private final int identifier;
     private final int holdTime;
-    /** By each connection that the speaker has confirmed: where both sides have dialled there are two for a moment. */
+    /** The table of each confirmed connection; after a connection collision there are briefly two. */
     private final Map<Socket, Map<String, String>> tables = new ConcurrentHashMap<>();
     private final List<Change> changes = new CopyOnWriteArrayList<>();
     private final List<String> faults = new CopyOnWriteArrayList<>();
@@ -43,34 +43,34 @@
     private volatile int messages;
     private volatile int opens;
 
-    /** Listens on this address of the loopback, a port that the system chooses. */
+    /** Listens on the given loopback address, on a free port. */
     public StandInBgpPeer(String host, int as, int identifier, int holdTime) throws IOException {
         this.as = as;
         this.identifier = identifier;
         this.holdTime = holdTime;
         listener = new ServerSocket(0, 16, InetAddress.getByName(host));
-        daemon(() -> {
+        startDaemon(() -> {
             while (true) {
                 Socket socket = listener.accept();
                 if (refuses) {
                     socket.close();
                 } else {
-                    daemon(() -> serve(socket));
+                    startDaemon(() -> serve(socket));
                 }
             }
         });
     }
 
-    private interface Work {
+    private interface IoTask {
         void run() throws IOException;
     }
 
-    private static void daemon(Work work) {
+    private static void startDaemon(IoTask task) {
         Thread thread = new Thread(() -> {
             try {
-                work.run();
+                task.run();
             } catch (IOException e) {
-                // The connection or the peer has ended.
+                // The connection or the peer has been closed.
             }
         }, "bgp-peer");
         thread.setDaemon(true);
@@ -81,23 +81,24 @@
         return (InetSocketAddress) listener.getLocalSocketAddress();
     }
 
-    // ---- script ----
+    // ---- control ----
 
-    /** From now on connections are closed at once, or taken again. */
+    /** Closes new connections at once, or accepts them again. */
     public void refuses(boolean on) {
         refuses = on;
     }
 
-    /** From now on it sends no OPEN, and nothing after it. */
+    /** Sends no OPEN and no KEEPALIVE, or sends them again. */
     public void silent(boolean on) {
         silent = on;
     }
 
+    /** Stops or resumes reading. */
     public void reads(boolean on) {
         reads = on;
     }
 
-    /** Breaks the session off. */
+    /** Closes the connection of the session. */
     public void closeSession() throws IOException {
         Socket socket = session;
         if (socket != null) {
@@ -105,25 +106,25 @@
         }
     }
 
-    /** Dials the speaker from the own address and serves that connection as any other. */
+    /** Connects to the speaker from the address of this peer and serves that connection like an accepted one. */
     public void dial(InetSocketAddress speaker) throws IOException {
         Socket socket = new Socket();
         socket.bind(new InetSocketAddress(listener.getInetAddress(), 0));
         socket.connect(speaker);
-        daemon(() -> serve(socket));
+        startDaemon(() -> serve(socket));
     }
 
-    /** Sends a message with this type and body, in hex, on the session. */
+    /** Sends a message with the given type and hex body on the session. */
     public void send(int type, String body) throws IOException {
         send(session, type, HexFormat.of().parseHex(body.replace(" ", "")));
     }
 
-    /** Sends these bytes as they are. */
+    /** Sends the bytes as they are. */
     public void sendRaw(byte[] bytes) throws IOException {
         session.getOutputStream().write(bytes);
     }
 
-    // ---- what it knows ----
+    // ---- observations ----
 
     public Map<String, String> table() {
         Map<String, String> all = new ConcurrentHashMap<>();
@@ -135,12 +136,12 @@
         return changes;
     }
 
-    /** What broke the RFCs. */
+    /** Violations of the RFCs. */
     public List<String> faults() {
         return faults;
     }
 
-    /** Codes and subcodes that the speaker has sent, such as {@code 6/2}. */
+    /** Codes and subcodes of the NOTIFICATIONs that the speaker has sent, such as {@code 6/2}. */
     public List<String> notifications() {
         return notifications;
     }
@@ -153,7 +154,7 @@
         return sessions;
     }
 
-    /** OPENs that the speaker has sent, over all connections. */
+    /** The number of OPENs that the speaker has sent over all connections. */
     public int opens() {
         return opens;
     }
@@ -162,7 +163,7 @@
         return messages;
     }
 
-    // ---- one session ----
+    // ---- protocol ----
 
     private static void send(Socket socket, int type, byte[] body) throws IOException {
         ByteBuffer out = ByteBuffer.allocate(19 + body.length).put(MARKER).putShort((short) (19 + body.length)).put((byte) type).put(body);
@@ -171,7 +172,7 @@
         }
     }
 
-    private byte[] open() {
+    private byte[] encodeOpen() {
         ByteBuffer out = ByteBuffer.allocate(10 + 2 + 14).put((byte) 4).putShort((short) as).putShort((short) holdTime).putInt(identifier);
         out.put((byte) 16).put((byte) 2).put((byte) 14);
         out.put(HexFormat.of().parseHex("010400010001")).put((byte) 2).put((byte) 0).put((byte) 65).put((byte) 4).putInt(as);
@@ -184,7 +185,7 @@
                 session = socket;
             }
             if (!silent) {
-                send(socket, 1, open());
+                send(socket, 1, encodeOpen());
             }
             DataInputStream in = new DataInputStream(socket.getInputStream());
             boolean opened = false;
@@ -223,16 +224,16 @@
                     notifications.add(body[0] + "/" + body[1]);
                     return;
                 } else {
-                    faults.add("message " + type + " out of place");
+                    faults.add("message " + type + " in the wrong state");
                 }
             }
         } catch (EOFException e) {
-            // It has closed.
+            // The speaker has closed the connection.
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } finally {
             tables.remove(socket);
-            tables.keySet().stream().findFirst().ifPresent(left -> session = left);
+            tables.keySet().stream().findFirst().ifPresent(remaining -> session = remaining);
         }
     }
 
@@ -250,24 +251,24 @@
             attributes.arrayOffset() + attributes.limit());
         while (withdrawn.hasRemaining()) {
             String prefix = prefix(withdrawn);
-            // A change is told before it shows in the table, so that who has seen the one finds the other.
+            // The change is recorded before the table is updated, so that a reader who sees the new table also finds the change.
             changes.add(new Change(System.nanoTime(), prefix, false, ""));
             if (table.remove(prefix) == null) {
-                faults.add("withdraws " + prefix + ", which it never announced");
+                faults.add("withdrawal of " + prefix + ", which is not announced");
             }
         }
-        boolean announces = in.hasRemaining();
+        boolean hasAnnouncements = in.hasRemaining();
         while (in.hasRemaining()) {
             String prefix = prefix(in);
             changes.add(new Change(System.nanoTime(), prefix, true, text));
             table.put(prefix, text);
         }
-        if (announces) {
+        if (hasAnnouncements) {
             checkAttributes(attributes);
         }
     }
 
-    /** ORIGIN, AS_PATH and NEXT_HOP once each, with their flags; LOCAL_PREF from the own AS alone. */
+    /** Checks that ORIGIN, AS_PATH and NEXT_HOP occur once each with their flags, and that no attribute is repeated. */
     private void checkAttributes(ByteBuffer in) {
         int seen = 0;
         while (in.remaining() >= 3) {
--- a/src/main/java/onyxpaddle/standin/StandInRpcServer.java
+++ b/src/main/java/onyxpaddle/standin/StandInRpcServer.java
@@ -21,10 +21,10 @@
 import org.msgpack.value.ValueFactory;
 
 /**
- * A MessagePack-RPC server that stands in for a box of the records system on loopback. It answers each call with its own
- * name, the method and the parameters, after a delay; {@code fail} with an error of its own, {@code refuse} with the
- * documented word that the call never ran, {@code count} with the number of parameters. It counts how often each call
- * ran by its key: that of an envelope, or the first parameter where it is a text. What goes wrong is scripted.
+ * A MessagePack-RPC server on loopback that stands in for a backend. It answers each call with its own name, the method and the
+ * parameters, after a delay; {@code fail} with an application error, {@code refuse} with the documented error for a call that was
+ * not executed, {@code count} with the number of parameters. It counts the executions of each call by its key, which is the key of
+ * the envelope, or the first parameter if that is a text. Faults are scripted.
  */
 public final class StandInRpcServer extends StandIn<StandInRpcServer> {
     private static final String ENVELOPE = "lupinmount";
@@ -33,9 +33,9 @@
     private final AtomicInteger connections = new AtomicInteger();
     private volatile Map<Value, Value> lastEnvelope = Map.of();
 
-    /** {@code port}: 0 for one that the system chooses; {@code ledger}: where it writes down what ran. */
-    public StandInRpcServer(String name, int port, ExecutionCounter ledger) throws Exception {
-        super(name, ledger);
+    /** {@code port}: 0 for a free one; {@code executions}: the counter of executed calls. */
+    public StandInRpcServer(String name, int port, ExecutionCounter executions) throws Exception {
+        super(name, executions);
         listen(port);
     }
 
@@ -47,38 +47,38 @@
     @Override
     ChannelHandler[] handlers() {
         connections.incrementAndGet();
-        return new ChannelHandler[] {new Calls()};
+        return new ChannelHandler[] {new CallHandler()};
     }
 
-    /** How many notifications have come. */
+    /** The number of notifications received. */
     public long notified() {
         return notified.get();
     }
 
-    /** How many connections have been made to it. */
+    /** The number of connections accepted so far. */
     public int connections() {
         return connections.get();
     }
 
-    /** How many of them are open. */
+    /** The number of open connections. */
     public int openConnections() {
         return open.size();
     }
 
-    /** What the envelope of the last call said; empty where it had none. */
+    /** The envelope of the last call; empty if it had none. */
     public Map<Value, Value> lastEnvelope() {
         return lastEnvelope;
     }
 
-    /** Closes all connections at once, and takes new ones as before. */
+    /** Closes all connections; new ones are still accepted. */
     public void breakConnections() {
         open.close().syncUninterruptibly();
     }
 
-    private final class Calls extends ChannelInboundHandlerAdapter {
+    private final class CallHandler extends ChannelInboundHandlerAdapter {
         private final ByteBuf bytes = Unpooled.buffer();
-        /** An answer that waits for the next one to go before it. */
-        private byte[] held;
+        /** A reordered answer, which is sent after the next one. */
+        private byte[] deferred;
         private boolean stalled;
 
         @Override
@@ -87,17 +87,17 @@
             bytes.writeBytes(more);
             more.release();
             try (MessageUnpacker unpacker = MessagePack.newDefaultUnpacker(bytes.nioBuffer())) {
-                long taken = 0;
+                long consumed = 0;
                 try {
                     while (unpacker.hasNext()) {
                         ArrayValue frame = unpacker.unpackValue().asArrayValue();
-                        taken = unpacker.getTotalReadBytes();
+                        consumed = unpacker.getTotalReadBytes();
                         frame(context, frame);
                     }
                 } catch (MessageInsufficientBufferException e) {
-                    // The rest of it comes with a later read.
+                    // The frame is incomplete; the rest arrives with a later read.
                 }
-                bytes.skipBytes((int) taken).discardReadBytes();
+                bytes.skipBytes((int) consumed).discardReadBytes();
             }
         }
 
@@ -112,7 +112,7 @@
             }
             if (notification) {
                 notified.incrementAndGet();
-                ledger.ran(key(envelope, params));
+                executions.countExecution(key(envelope, params));
                 return;
             }
             Value id = frame.get(1);
@@ -121,23 +121,23 @@
                     text("message"), text("full"))), ValueFactory.newNil()));
                 return;
             }
-            ledger.ran(key(envelope, params));
+            executions.countExecution(key(envelope, params));
             Fault fault = faults.next();
-            Value answered = fault == Fault.WRONG_ID ? ValueFactory.newInteger(0xfffffff0L) : id;
-            byte[] answer = method.equals("fail") ? answer(answered, text("failed as asked"), ValueFactory.newNil())
-                : answer(answered, ValueFactory.newNil(), method.equals("count") ? ValueFactory.newInteger(params.size())
+            Value answerId = fault == Fault.WRONG_ID ? ValueFactory.newInteger(0xfffffff0L) : id;
+            byte[] answer = method.equals("fail") ? answer(answerId, text("failed as asked"), ValueFactory.newNil())
+                : answer(answerId, ValueFactory.newNil(), method.equals("count") ? ValueFactory.newInteger(params.size())
                     : ValueFactory.newMap(text("by"), text(name), text("method"), text(method), text("params"),
                         ValueFactory.newArray(params)));
             long millis = nextDelay() + (fault == Fault.DELAY ? faults.delayMillis() : 0);
-            after(context, millis, () -> faulty(context, answer, fault));
+            after(context, millis, () -> sendWithFault(context, answer, fault));
         }
 
-        private void faulty(ChannelHandlerContext context, byte[] answer, Fault fault) {
+        private void sendWithFault(ChannelHandlerContext context, byte[] answer, Fault fault) {
             switch (fault) {
                 case LOSE_REPLY -> { }
                 case REORDER -> {
-                    byte[] before = held;
-                    held = answer;
+                    byte[] before = deferred;
+                    deferred = answer;
                     if (before != null) {
                         send(context, before);
                     }
@@ -153,16 +153,16 @@
                 }
                 case CUT_SHORT -> {
                     if (!stalled) {
-                        context.writeAndFlush(Unpooled.wrappedBuffer(answer, 0, 1 + faults.draw(answer.length - 1)))
+                        context.writeAndFlush(Unpooled.wrappedBuffer(answer, 0, 1 + faults.randomBelow(answer.length - 1)))
                             .addListener(ChannelFutureListener.CLOSE);
                     }
                 }
                 case GARBAGE -> send(context, faults.garbage());
                 case NONE, DELAY, WRONG_ID -> {
                     send(context, answer);
-                    if (held != null) {
-                        send(context, held);
-                        held = null;
+                    if (deferred != null) {
+                        send(context, deferred);
+                        deferred = null;
                     }
                 }
             }
@@ -193,8 +193,8 @@
         if (params.isEmpty() || !params.get(0).isMapValue()) {
             return Map.of();
         }
-        Value said = params.get(0).asMapValue().map().get(text(ENVELOPE));
-        return said == null ? Map.of() : said.asMapValue().map();
+        Value envelope = params.get(0).asMapValue().map().get(text(ENVELOPE));
+        return envelope == null ? Map.of() : envelope.asMapValue().map();
     }
 
     private static String key(Map<Value, Value> envelope, List<Value> params) {
--- a/src/main/java/onyxpaddle/standin/StandInServer.java
+++ b/src/main/java/onyxpaddle/standin/StandInServer.java
@@ -29,46 +29,47 @@
 import onyxpaddle.standin.FaultScript.Fault;
 
 /**
- * An HTTP server that stands in for a box or an application on loopback. It answers each request with its own name and
- * what it was asked, after a delay, and counts how often each request ran: by the {@code X-Effect} header, which its
- * callers make unique, or by no name at all. It can stand still, and can fail.
+ * An HTTP server on loopback that stands in for a backend or an application. It answers each request with its own name and the
+ * request line, after a delay, and counts the executions of each request by the {@code X-Effect} header, which callers make
+ * unique; requests without the header only add to the total. It can be frozen, and its answers can have faults.
  *
- * <p>A caller may ask it for something special: {@code X-Answer-Status}, {@code X-Answer-Bytes}, {@code X-Answer-Delay}
+ * <p>A request can set the answer with the headers {@code X-Answer-Status}, {@code X-Answer-Bytes} and {@code X-Answer-Delay}
  * (milliseconds).
  */
 public final class StandInServer extends StandIn<StandInServer> {
-    private static final int LARGEST = 64 << 20;
-    /** Answers larger than this are not built in memory, and know no faults. */
-    private static final int HELD = 1 << 20;
-    private static final int PIECE = 64 * 1024;
+    private static final int MAX_BODY_BYTES = 64 << 20;
+    /** Larger answers are streamed instead of built in memory, and have no faults. */
+    private static final int MAX_BUFFERED_BYTES = 1 << 20;
+    private static final int CHUNK_BYTES = 64 * 1024;
 
-    /** Told of what comes and what runs, on the server's own loop. */
+    /** Notified of received and executed requests, on the event loop of the server. */
     public interface Watcher {
-        /** A request of that {@code X-Effect} has come whole, from that address. */
+        /** A request with that {@code X-Effect} has been received completely, from that address. */
         void requestReceived(String effect, SocketAddress from);
 
-        /** It runs. */
+        /** The request is being executed. */
         void requestExecuted(String effect);
     }
 
     private volatile boolean silent;
     private volatile Watcher watcher;
-    /** How many it works on at once, 0 for all that come, and how many more wait; of the loop alone. */
+    /** The number of requests executed at once, 0 for no limit. */
     private volatile int slots;
-    private volatile int room;
-    private volatile boolean dropsGone;
+    private volatile int queueCapacity;
+    private volatile boolean dropsCancelled;
+    /** Accessed on the event loop only, as is the queue. */
     private int busy;
-    private final ArrayDeque<Runnable> line = new ArrayDeque<>();
+    private final ArrayDeque<Runnable> queue = new ArrayDeque<>();
     private volatile int status = 200;
 
-    /** {@code port}: 0 for one that the system chooses. */
+    /** {@code port}: 0 for a free one. */
     public StandInServer(String name, int port) throws Exception {
         this(name, port, new ExecutionCounter());
     }
 
-    /** As the other; {@code ledger}: where it writes down what ran, with those that share it. */
-    public StandInServer(String name, int port, ExecutionCounter ledger) throws Exception {
-        super(name, ledger);
+    /** {@code executions}: the counter of executed requests, which several stand-ins may share. */
+    public StandInServer(String name, int port, ExecutionCounter executions) throws Exception {
+        super(name, executions);
         listen(port);
     }
 
@@ -79,58 +80,59 @@
 
     @Override
     ChannelHandler[] handlers() {
-        return new ChannelHandler[] {new HttpServerCodec(), new HttpObjectAggregator(LARGEST), new ChunkedWriteHandler(), new Requests()};
+        return new ChannelHandler[] {new HttpServerCodec(), new HttpObjectAggregator(MAX_BODY_BYTES), new ChunkedWriteHandler(),
+            new RequestHandler()};
     }
 
-    /** From now on it takes requests and says nothing, or answers again. */
+    /** Executes requests without answering them, or answers again. */
     public StandInServer silent(boolean on) {
         silent = on;
         return this;
     }
 
-    /** The status of its answers from now on, where the request does not ask for one. */
+    /** Sets the status of answers to requests without {@code X-Answer-Status}. */
     public StandInServer status(int code) {
         status = code;
         return this;
     }
 
     /**
-     * From now on it works on so many at once, lets {@code waiting} more wait, and turns further ones away. One whose caller
-     * has gone while it waited never runs if {@code drops}, and is work for nobody else.
+     * Executes at most {@code atOnce} requests at once, queues {@code waiting} more, and refuses further ones. If {@code drops}, a
+     * queued request whose caller has closed its connection is not executed and takes no slot.
      */
     public StandInServer slots(int atOnce, int waiting, boolean drops) {
-        room = waiting;
-        dropsGone = drops;
+        queueCapacity = waiting;
+        dropsCancelled = drops;
         slots = atOnce;
         return this;
     }
 
-    /** Who is told what comes and runs from now on. */
-    public StandInServer watcher(Watcher told) {
-        watcher = told;
+    /** Sets the watcher of further requests. */
+    public StandInServer watcher(Watcher listener) {
+        watcher = listener;
         return this;
     }
 
-    /** How often the request with this {@code X-Effect} ran. */
+    /** How often the request with this {@code X-Effect} was executed. */
     public int runs(String effect) {
-        return ledger.runs(effect);
+        return executions.runs(effect);
     }
 
-    /** How often each named request ran. */
+    /** The number of executions by {@code X-Effect}. */
     public Map<String, AtomicInteger> allRuns() {
-        return ledger.allRuns();
+        return executions.allRuns();
     }
 
-    /** How many requests it has answered or let run. */
+    /** The number of all executed requests. */
     public long served() {
-        return ledger.served();
+        return executions.served();
     }
 
-    /** So many bytes, all the same. */
-    private static final class Repeated extends InputStream {
+    /** A stream of one repeated byte with a given length. */
+    private static final class RepeatedByteStream extends InputStream {
         private long left;
 
-        Repeated(long length) {
+        RepeatedByteStream(long length) {
             left = length;
         }
 
@@ -153,7 +155,7 @@
         }
     }
 
-    private final class Requests extends SimpleChannelInboundHandler<FullHttpRequest> {
+    private final class RequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
             if (request.decoderResult().isFailure()) {
@@ -162,8 +164,8 @@
             }
             boolean keep = HttpUtil.isKeepAlive(request);
             long large = number(request, "X-Answer-Bytes", 0);
-            if (large > HELD) {
-                ledger.ran(request.headers().get("X-Effect"));
+            if (large > MAX_BUFFERED_BYTES) {
+                executions.countExecution(request.headers().get("X-Effect"));
                 stream(context, large, keep);
                 return;
             }
@@ -171,7 +173,7 @@
             if (watcher != null) {
                 watcher.requestReceived(effect, context.channel().remoteAddress());
             }
-            if (refuses || slots > 0 && busy >= slots && line.size() >= room) {
+            if (refuses || slots > 0 && busy >= slots && queue.size() >= queueCapacity) {
                 DefaultFullHttpResponse refusal = answer(503, "full\n");
                 refusal.headers().set("X-Never-Ran", "1");
                 write(context, refusal, keep);
@@ -180,35 +182,35 @@
             DefaultFullHttpResponse response = response(request);
             long millis = number(request, "X-Answer-Delay", nextDelay());
             if (slots == 0) {
-                work(context, effect, response, millis, keep, () -> { });
+                execute(context, effect, response, millis, keep, () -> { });
             } else if (busy < slots) {
                 busy++;
-                work(context, effect, response, millis, keep, this::next);
+                execute(context, effect, response, millis, keep, this::startNext);
             } else {
-                line.add(() -> {
-                    if (context.channel().isActive() || !dropsGone) {
-                        work(context, effect, response, millis, keep, this::next);
+                queue.add(() -> {
+                    if (context.channel().isActive() || !dropsCancelled) {
+                        execute(context, effect, response, millis, keep, this::startNext);
                     } else {
                         response.release();
-                        next();
+                        startNext();
                     }
                 });
             }
         }
 
-        /** A place is free: the one that has waited longest has it. */
-        private void next() {
-            Runnable waits = line.poll();
-            if (waits == null) {
+        /** Starts the request that has waited longest, or frees the slot. */
+        private void startNext() {
+            Runnable queued = queue.poll();
+            if (queued == null) {
                 busy--;
             } else {
-                waits.run();
+                queued.run();
             }
         }
 
-        private void work(ChannelHandlerContext context, String effect, DefaultFullHttpResponse response, long millis, boolean keep,
-                Runnable then) {
-            ledger.ran(effect);
+        private void execute(ChannelHandlerContext context, String effect, DefaultFullHttpResponse response, long millis, boolean keep,
+                Runnable whenDone) {
+            executions.countExecution(effect);
             if (watcher != null) {
                 watcher.requestExecuted(effect);
             }
@@ -218,24 +220,24 @@
             }
             Fault fault = faults.next();
             after(context, millis + (fault == Fault.DELAY ? faults.delayMillis() : 0), () -> {
-                faulty(context, response, keep, fault);
-                then.run();
+                writeWithFault(context, response, keep, fault);
+                whenDone.run();
             });
         }
 
-        /** A long answer, written as its reader takes it. */
+        /** Writes a large answer as fast as its reader takes it. */
         private void stream(ChannelHandlerContext context, long length, boolean keep) {
             DefaultHttpResponse head = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
             head.headers().set(HttpHeaderNames.CONTENT_LENGTH, length);
             HttpUtil.setKeepAlive(head, keep);
             context.write(head);
-            context.writeAndFlush(new HttpChunkedInput(new ChunkedStream(new Repeated(length), PIECE)));
+            context.writeAndFlush(new HttpChunkedInput(new ChunkedStream(new RepeatedByteStream(length), CHUNK_BYTES)));
         }
 
-        private void faulty(ChannelHandlerContext context, DefaultFullHttpResponse response, boolean keep, Fault fault) {
+        private void writeWithFault(ChannelHandlerContext context, DefaultFullHttpResponse response, boolean keep, Fault fault) {
             byte[] head = ("HTTP/1.1 200 OK\r\nContent-Length: " + response.content().readableBytes() + "\r\n\r\n")
                 .getBytes(StandardCharsets.US_ASCII);
-            // Past the encoder, as no encoder writes half an answer.
+            // Bypasses the encoder, which cannot write half an answer.
             ChannelHandlerContext raw = context.pipeline().firstContext();
             switch (fault) {
                 case LOSE_REPLY -> response.release();
@@ -249,7 +251,7 @@
                     response.release();
                 }
                 case CUT_SHORT -> {
-                    raw.writeAndFlush(Unpooled.wrappedBuffer(head, 0, 1 + faults.draw(head.length - 1)))
+                    raw.writeAndFlush(Unpooled.wrappedBuffer(head, 0, 1 + faults.randomBelow(head.length - 1)))
                         .addListener(ChannelFutureListener.CLOSE);
                     response.release();
                 }
@@ -266,14 +268,14 @@
             long bytes = number(request, "X-Answer-Bytes", -1);
             String text = name + " " + request.method() + " " + request.uri() + " " + request.content().readableBytes()
                 + " bytes\n";
-            DefaultFullHttpResponse response = answer(code, bytes < 0 ? text : "x".repeat((int) Math.min(LARGEST, bytes)));
+            DefaultFullHttpResponse response = answer(code, bytes < 0 ? text : "x".repeat((int) Math.min(MAX_BODY_BYTES, bytes)));
             response.headers().set("X-Stand-In", name);
             return response;
         }
 
-        private static long number(FullHttpRequest request, String header, long usual) {
+        private static long number(FullHttpRequest request, String header, long defaultValue) {
             String text = request.headers().get(header);
-            return text != null && text.matches("[0-9]{1,9}") ? Long.parseLong(text) : usual;
+            return text != null && text.matches("[0-9]{1,9}") ? Long.parseLong(text) : defaultValue;
         }
 
         private static DefaultFullHttpResponse answer(int status, String text) {
--- a/src/test/java/onyxpaddle/sidecar/EditCase.java
+++ b/src/test/java/onyxpaddle/sidecar/EditCase.java
@@ -5,7 +5,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Broken files as edits of a sound one: `<` what is replaced, `>` by what, `!` each fault that must be told for it. */
+/** An edit of a valid file, read from a resource: `<` lines are replaced by `>` lines, and `!` lines are the expected faults. */
 record EditCase(String name, String before, String after, List<String> faults) {
     static String resource(String name) {
         try (var in = EditCase.class.getResourceAsStream(name)) {
@@ -18,31 +18,31 @@
     static List<EditCase> all(String resource) {
         List<EditCase> cases = new ArrayList<>();
         for (String block : resource(resource).split("\n(?=# )")) {
-            List<String> old = new ArrayList<>();
-            List<String> now = new ArrayList<>();
+            List<String> before = new ArrayList<>();
+            List<String> after = new ArrayList<>();
             List<String> faults = new ArrayList<>();
             for (String line : block.split("\n")) {
                 if (line.startsWith("<")) {
-                    old.add(line.substring(2));
+                    before.add(line.substring(2));
                 } else if (line.startsWith(">")) {
-                    now.add(line.substring(2));
+                    after.add(line.substring(2));
                 } else if (line.startsWith("!")) {
                     faults.add(line.substring(2));
                 }
             }
-            cases.add(new EditCase(block.lines().findFirst().orElse("").substring(2), String.join("\n", old),
-                String.join("\n", now), faults));
+            cases.add(new EditCase(block.lines().findFirst().orElse("").substring(2), String.join("\n", before),
+                String.join("\n", after), faults));
         }
         return cases;
     }
 
-    /** The sound text with the edit, which must be possible at one place alone or at the first of several. */
-    String applied(String sound) {
-        int at = sound.indexOf(before);
+    /** Applies the edit to the first occurrence of the replaced lines. */
+    String apply(String text) {
+        int at = text.indexOf(before);
         if (at < 0) {
-            throw new IllegalArgumentException(name + ": nothing to replace: " + before);
+            throw new IllegalArgumentException(name + ": text to replace not found: " + before);
         }
-        return sound.substring(0, at) + after + sound.substring(at + before.length());
+        return text.substring(0, at) + after + text.substring(at + before.length());
     }
 
     @Override
--- a/src/test/java/onyxpaddle/sidecar/InvalidFilesTest.java
+++ b/src/test/java/onyxpaddle/sidecar/InvalidFilesTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Each broken file is refused for what is wrong with it, at its place, and for nothing else. */
+/** Each invalid file gives exactly the expected faults, at the expected positions. */
 class InvalidFilesTest {
     static final MachineLimits MACHINE = new MachineLimits(4096, 1L << 30);
     @TempDir
@@ -48,18 +48,18 @@
 
     @ParameterizedTest
     @MethodSource("descriptions")
-    void brokenDescription(EditCase broken) throws IOException {
-        assertEquals(broken.faults(), faults(broken.applied(EditCase.resource("description.yaml"))));
+    void invalidDescription(EditCase edit) throws IOException {
+        assertEquals(edit.faults(), faults(edit.apply(EditCase.resource("description.yaml"))));
     }
 
     @ParameterizedTest
     @MethodSource("configurations")
-    void brokenConfiguration(EditCase broken) throws IOException {
-        assertEquals(broken.faults(), faults(broken.applied(EditCase.resource("configuration.yaml"))));
+    void invalidConfiguration(EditCase edit) throws IOException {
+        assertEquals(edit.faults(), faults(edit.apply(EditCase.resource("configuration.yaml"))));
     }
 
     @Test
-    void thereAreAsManyAsIsSaidAndTheSoundOnesAreSound() throws IOException {
+    void minimumNumberOfCasesAndUneditedFilesHaveNoFaults() throws IOException {
         assertTrue(descriptions().count() >= 60 && configurations().count() >= 20);
         assertTrue(Stream.concat(descriptions(), configurations()).noneMatch(c -> c.faults().isEmpty()));
         assertEquals(List.of(), faults(EditCase.resource("description.yaml")));
@@ -67,25 +67,25 @@
     }
 
     @Test
-    void allFaultsAreToldInOneRun() throws IOException {
+    void reportsAllFaultsInOneRun() throws IOException {
         String text = EditCase.resource("description.yaml").replace("effect: safe\n", "effect: save\n")
             .replace("port: 9101", "port: 8081").replace("tenant", "tennant").replace("memory: 64 MiB", "memory: 64");
         assertEquals(List.of("2", "9", "20", "28"), faults(text).stream().map(f -> f.substring(0, f.indexOf(':'))).toList());
     }
 
     @Test
-    void applicationsOfOneMachineAreCheckedTogether() throws IOException {
+    void checksApplicationsOfOneMachineAgainstEachOther() throws IOException {
         String one = EditCase.resource("description.yaml");
         String two = one.replace("application: booking", "application: billing").replace("port: 8081", "port: 8082")
             .replace("inbound: 127.0.0.1:8080", "inbound: 0.0.0.0:9101").replace("port: 9101", "port: 9201")
             .replaceFirst("(?s)    servers:.*?weight: 2}\n", "").replace("  records:", "  bookin:");
-        assertEquals(List.of("f1.yaml:4:10: inbound: port 9101 is claimed by the call `records` of `booking` too"
-                + " (127.0.0.1:9101, f0.yaml:20:11); a port of its own for each",
-            "f1.yaml:20:5: calls.bookin: nobody serves `bookin`; did you mean `booking`? `servers`, `file` or `discovery`,"
-                + " or the description of that application beside this one"), faults(one, two));
+        assertEquals(List.of("f1.yaml:4:10: inbound: port 9101 is also used by the call `records` of `booking`"
+                + " (127.0.0.1:9101, f0.yaml:20:11); a unique port for each",
+            "f1.yaml:20:5: calls.bookin: no application named `bookin`; did you mean `booking`? `servers`, `file` or `discovery`,"
+                + " or the description of that application among the files"), faults(one, two));
         String same = two.replace("application: billing", "application: booking").replace("0.0.0.0:9101", "0.0.0.0:9301")
             .replace("bookin:", "booking:");
-        assertEquals(List.of("f1.yaml:1:14: application: `booking` is described in f0.yaml too; a name of its own for each"
+        assertEquals(List.of("f1.yaml:1:14: application: `booking` is also described in f0.yaml; a unique name for each"
                 + " application",
             "f1.yaml:20:5: calls.booking: the application calls itself through its own node; call its own port 8082"),
             faults(one, same));
@@ -95,7 +95,7 @@
     }
 
     @Test
-    void filesThatCannotBeReadAreFaults() throws IOException {
+    void unreadableFilesAreFaults() throws IOException {
         Path latin = Files.write(folder.resolve("latin.yaml"), "application: caf\u00e9\n".getBytes(StandardCharsets.ISO_8859_1));
         Path big = Files.write(folder.resolve("big.yaml"), new byte[10 << 20]);
         Path loop = folder.resolve("loop.yaml");
@@ -109,12 +109,12 @@
             "gone.yaml: there is no such file; check the name",
             "latin.yaml:1:17: not UTF-8; save the file as UTF-8",
             "loop.yaml: its symbolic links lead in a circle; let the link name a file",
-            "none: the folder holds 0 files of ours; from 1 to 1000 that end in .yaml, .yml or .json"),
+            "none: the folder has 0 configuration files; from 1 to 1000 that end in .yaml, .yml or .json"),
             faults(List.of(latin, big, loop, empty, inside, folder.resolve("gone.yaml"))));
     }
 
     @Test
-    void aFileOfNoiseOrOfHugeNestingIsAFaultAndNoMore() throws IOException {
+    void deeplyNestedOrMalformedTextIsAFault() throws IOException {
         assertFalse(faults("[".repeat(100_000)).isEmpty());
         assertFalse(faults("a: ".repeat(1000)).isEmpty());
         assertFalse(faults("{".repeat(5000) + "}".repeat(5000)).isEmpty());
@@ -122,7 +122,7 @@
     }
 
     @Test
-    void theToolTellsThemOnStandardErrorAndForMachines() throws IOException {
+    void commandReportsFaultsOnStandardErrorOrAsJson() throws IOException {
         Path file = Files.writeString(folder.resolve("d.yaml"), "application: a\nport: x\ninbound: 127.0.0.1:1\ndefault: {}\n");
         StringWriter out = new StringWriter();
         StringWriter err = new StringWriter();
--- a/src/test/java/onyxpaddle/sidecar/MutatedKeysTest.java
+++ b/src/test/java/onyxpaddle/sidecar/MutatedKeysTest.java
@@ -29,11 +29,11 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Every key of every example is misspelt, doubled, given another type and removed, one at a time: each is refused at
- * its line, but for a removal of what the shape calls optional.
+ * Mutates every key of every example, one at a time: misspelt, duplicated, given another type, or removed. Each mutation must be
+ * reported at its line; a removal need only be reported if the key is required.
  */
 class MutatedKeysTest {
-    private enum Mutation { NONE, MISSPELT, DOUBLED, OTHER_TYPE, REMOVED }
+    private enum Mutation { NONE, MISSPELT, DUPLICATED, OTHER_TYPE, REMOVED }
 
     /** An example and its shape. */
     record Example(String name, String text, Section shape) {
@@ -49,7 +49,7 @@
     static Stream<Example> examples() throws IOException {
         List<Example> all = new ArrayList<>();
         String base = EditCase.resource("description.yaml");
-        EditCase.all("good-descriptions.txt").forEach(c -> all.add(new Example(c.name(), c.applied(base), DescriptionShape.ALL)));
+        EditCase.all("good-descriptions.txt").forEach(c -> all.add(new Example(c.name(), c.apply(base), DescriptionShape.ALL)));
         all.add(new Example("booking", Files.readString(Path.of("deploy/examples/booking.yaml")), DescriptionShape.ALL));
         all.add(new Example("records", Files.readString(Path.of("deploy/examples/records.yaml")), DescriptionShape.ALL));
         all.add(new Example("announced", Files.readString(Path.of("deploy/bgp/booking.node.yaml")), NodeSchema.NODE));
@@ -58,17 +58,17 @@
         return all.stream();
     }
 
-    /** Writes a tree out with each key on a line of its own, and one slip at one path. */
+    /** Writes a tree with each key on a line of its own and one key mutated. */
     private static final class Writer {
         private final StringBuilder out = new StringBuilder();
-        private final String at;
-        private final Mutation slip;
+        private final String path;
+        private final Mutation mutation;
         private int line = 1;
-        private int slipLine;
+        private int mutatedLine;
 
-        Writer(String at, Mutation slip) {
-            this.at = at;
-            this.slip = slip;
+        Writer(String path, Mutation mutation) {
+            this.path = path;
+            this.mutation = mutation;
         }
 
         private void value(Value value) {
@@ -89,24 +89,24 @@
         }
 
         private void key(Mapping mapping, String name, Value value) {
-            boolean here = (mapping.path().isEmpty() ? name : mapping.path() + "." + name).equals(at);
-            if (here && slip == Mutation.REMOVED) {
+            boolean mutated = (mapping.path().isEmpty() ? name : mapping.path() + "." + name).equals(path);
+            if (mutated && mutation == Mutation.REMOVED) {
                 return;
             }
             out.append('\n');
             line++;
-            slipLine = here ? line : slipLine;
-            out.append('"').append(here && slip == Mutation.MISSPELT ? name + "qx" : name).append("\": ");
-            if (here && slip == Mutation.OTHER_TYPE) {
+            mutatedLine = mutated ? line : mutatedLine;
+            out.append('"').append(mutated && mutation == Mutation.MISSPELT ? name + "qx" : name).append("\": ");
+            if (mutated && mutation == Mutation.OTHER_TYPE) {
                 out.append(value instanceof Scalar ? "{other: type}" : "type");
             } else {
                 value(value);
             }
             out.append(',');
-            if (here && slip == Mutation.DOUBLED) {
+            if (mutated && mutation == Mutation.DUPLICATED) {
                 out.append('\n');
                 line++;
-                slipLine = line;
+                mutatedLine = line;
                 out.append('"').append(name).append("\": ");
                 value(value);
                 out.append(',');
@@ -114,7 +114,7 @@
         }
     }
 
-    /** The keys of a tree with what the shape says of each; names that people choose are left out. */
+    /** Collects the keys of a tree with their shapes; names chosen by the user are left out. */
     private static void keys(Value value, Schema shape, Map<String, Key> into) {
         if (shape instanceof ScalarOrSection either) {
             keys(value, value instanceof Mapping ? either.section() : either.scalar(), into);
@@ -138,24 +138,24 @@
 
     @ParameterizedTest
     @MethodSource("examples")
-    void noSlipGoesUnseen(Example example) throws IOException {
+    void everyMutationIsReported(Example example) throws IOException {
         Value tree = SourceFile.parse(example.name(), example.text(), new Faults());
         Map<String, Key> keys = new java.util.LinkedHashMap<>();
         keys(tree, example.shape(), keys);
-        assertTrue(keys.size() >= 15, "too few keys to mean anything: " + keys.size());
-        Writer sound = new Writer("", Mutation.NONE);
-        sound.value(tree);
-        assertEquals(List.of(), faults(sound.out + "\n"));
+        assertTrue(keys.size() >= 15, "too few keys for a meaningful test: " + keys.size());
+        Writer unchanged = new Writer("", Mutation.NONE);
+        unchanged.value(tree);
+        assertEquals(List.of(), faults(unchanged.out + "\n"));
         for (Map.Entry<String, Key> key : keys.entrySet()) {
-            for (Mutation slip : List.of(Mutation.MISSPELT, Mutation.DOUBLED, Mutation.OTHER_TYPE, Mutation.REMOVED)) {
-                Writer writer = new Writer(key.getKey(), slip);
+            for (Mutation mutation : List.of(Mutation.MISSPELT, Mutation.DUPLICATED, Mutation.OTHER_TYPE, Mutation.REMOVED)) {
+                Writer writer = new Writer(key.getKey(), mutation);
                 writer.value(tree);
                 List<Fault> faults = faults(writer.out + "\n");
-                String what = example.name() + ", " + key.getKey() + " " + slip + ": " + faults;
-                if (slip == Mutation.REMOVED) {
+                String what = example.name() + ", " + key.getKey() + " " + mutation + ": " + faults;
+                if (mutation == Mutation.REMOVED) {
                     assertTrue(!faults.isEmpty() || !key.getValue().required(), what);
                 } else {
-                    assertTrue(faults.stream().anyMatch(f -> f.place().line() == writer.slipLine), what);
+                    assertTrue(faults.stream().anyMatch(f -> f.place().line() == writer.mutatedLine), what);
                 }
             }
         }
--- a/src/test/java/onyxpaddle/sidecar/RpcCommandTest.java
+++ b/src/test/java/onyxpaddle/sidecar/RpcCommandTest.java
@@ -11,7 +11,7 @@
 import onyxpaddle.standin.StandInRpcServer;
 import org.junit.jupiter.api.Test;
 
-/** Calls by hand. */
+/** The command `rpc call` against a stand-in server. */
 class RpcCommandTest {
     private final StringWriter out = new StringWriter();
     private final StringWriter err = new StringWriter();
@@ -31,12 +31,12 @@
                 "--expires", "700", "--retry"));
             assertEquals("{\"by\":\"one\",\"method\":\"book\",\"params\":[\"a\",1,-2.5,true,null,{\"b\":[123456789012345]}]}\n",
                 out.toString());
-            assertEquals(1, server.ledger().runs("k1"));
+            assertEquals(1, server.executions().runs("k1"));
             assertEquals(3, server.lastEnvelope().size());
             assertEquals(69, run("call", at, "fail"));
             assertEquals("error: \"failed as asked\"\n", err.toString());
             assertEquals(69, run("call", at, "refuse"));
-            assertTrue(err.toString().contains("error of the node: {\"lupinmount\":{\"code\":\"refused\""), err::toString);
+            assertTrue(err.toString().contains("node error: {\"lupinmount\":{\"code\":\"refused\""), err::toString);
             long before = server.notified();
             assertEquals(0, run("call", at, "told", "--notify"));
             while (server.notified() == before) {
@@ -49,7 +49,7 @@
     }
 
     @Test
-    void wrongUsageIsToldSo() {
+    void wrongUsageExitsWith64() {
         for (String[] args : new String[][] {{"call", "nowhere", "m"}, {"call", "127.0.0.1:1", "m", "{}"},
             {"call", "127.0.0.1:1", "m", "[1"}, {"call", "127.0.0.1:1", "m", "[1] 2"}, {"call"}, {"cal"},
             {"call", "127.0.0.1:1", "m", "--colour"}}) {
--- a/src/test/java/onyxpaddle/sidecar/ValidFilesTest.java
+++ b/src/test/java/onyxpaddle/sidecar/ValidFilesTest.java
@@ -18,14 +18,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Each good description is written, the written one checked and started, and it serves over loopback. */
+/** For each valid description the configuration is generated, checked and started, and serves requests on loopback. */
 class ValidFilesTest {
     @TempDir
     Path folder;
     private final StringWriter out = new StringWriter();
     private final StringWriter err = new StringWriter();
 
-    static Stream<EditCase> good() {
+    static Stream<EditCase> validDescriptions() {
         return EditCase.all("good-descriptions.txt").stream();
     }
 
@@ -33,42 +33,42 @@
         return SidecarCommand.run(args, new PrintWriter(out), new PrintWriter(err), InvalidFilesTest.MACHINE);
     }
 
-    private Path description(EditCase good) throws IOException {
-        return Files.writeString(folder.resolve("d.yaml"), good.applied(EditCase.resource("description.yaml")));
+    private Path description(EditCase edit) throws IOException {
+        return Files.writeString(folder.resolve("d.yaml"), edit.apply(EditCase.resource("description.yaml")));
     }
 
     @ParameterizedTest
-    @MethodSource("good")
-    void isWrittenCheckedStartedAndServes(EditCase good) throws Exception {
-        Path file = description(good);
+    @MethodSource("validDescriptions")
+    void generatedConfigurationPassesTheCheckAndServes(EditCase edit) throws Exception {
+        Path file = description(edit);
         Path nodes = folder.resolve("nodes");
         assertEquals(0, run("write", file.toString(), "--out", nodes.toString()), err::toString);
         assertEquals(0, run("check", nodes.toString()), err::toString);
         CheckedFiles checked = CheckedFiles.of(List.of(file), InvalidFilesTest.MACHINE);
         try (LoopbackTrial trial = new LoopbackTrial(checked.descriptions.get(0))) {
-            List<LoopbackTrial.TrialRequest> asked = trial.ask();
-            assertTrue(asked.size() >= 4 && LoopbackTrial.sound(asked), asked::toString);
+            List<LoopbackTrial.TrialRequest> requests = trial.sendRequests();
+            assertTrue(requests.size() >= 4 && LoopbackTrial.allAsExpected(requests), requests::toString);
         }
     }
 
     @Test
-    void thereAreAsManyAsIsSaid() {
-        assertTrue(good().count() >= 12);
+    void minimumNumberOfCases() {
+        assertTrue(validDescriptions().count() >= 12);
     }
 
     @Test
-    void theExamplesAreSoundAndServe() throws Exception {
+    void examplesPassTheCheckAndServe() throws Exception {
         Path examples = Path.of("deploy/examples");
         assertEquals(0, run("check", examples.toString()), err::toString);
         assertEquals(0, run("try", examples.resolve("booking.yaml").toString(), "--once"), () -> out + "" + err);
-        assertTrue(out.toString().contains("all as it should be"), out::toString);
+        assertTrue(out.toString().contains("all requests answered as expected"), out::toString);
         out.getBuffer().setLength(0);
         assertEquals(0, run("try", examples.resolve("records.yaml").toString(), "--once"), () -> out + "" + err);
-        assertTrue(out.toString().contains("patient.trial") && out.toString().contains("all as it should be"), out::toString);
+        assertTrue(out.toString().contains("patient.trial") && out.toString().contains("all requests answered as expected"), out::toString);
     }
 
     @Test
-    void aCallIsExplained() throws Exception {
+    void explainsACall() throws Exception {
         Path nodes = folder.resolve("nodes");
         assertEquals(0, run("write", "deploy/examples/records.yaml", "--out", nodes.toString()), err::toString);
         Path file = nodes.resolve("partner-records.node.yaml");
@@ -76,22 +76,22 @@
         Map<String, String> lines = Explanation.of(config, "CALL", URI.create("rpc://h:7300/patient.read"), Map.of());
         assertEquals("in--look-up (patient.*)", lines.get("procedure"));
         assertEquals("1 s, or `expires` of its envelope if that is sooner", lines.get("deadline"));
-        assertEquals("holds too, but patient.* is longer", lines.get("not in--other"));
-        assertEquals("is of visit.book", lines.get("not in--enter"));
-        assertEquals("the error no-method at once: no procedure holds for `patient.read`",
+        assertEquals("matches too, but patient.* is longer", lines.get("not in--other"));
+        assertEquals("matches only visit.book", lines.get("not in--enter"));
+        assertEquals("the error no-method at once: no procedure matches `patient.read`",
             Explanation.of(config, "CALL", URI.create("rpc://h:9202/patient.read"), Map.of()).get("answer"));
         assertTrue(Explanation.of(config, "GET", URI.create("http://h:7300/x"), Map.of()).get("answer").startsWith("none"));
     }
 
     @Test
-    void writingIsTheSameEachTimeAndLeavesWhatAPersonChanged() throws Exception {
-        Path file = description(good().findFirst().orElseThrow());
+    void writeIsDeterministicAndKeepsFilesEditedByHand() throws Exception {
+        Path file = description(validDescriptions().findFirst().orElseThrow());
         Path node = folder.resolve("nodes/booking.node.yaml");
         String[] write = {"write", file.toString(), "--out", folder.resolve("nodes").toString()};
         assertEquals(0, run(write));
         String first = Files.readString(node);
         assertEquals(0, run(write));
-        assertTrue(out.toString().endsWith("as it should be\n"), out::toString);
+        assertTrue(out.toString().endsWith("up to date\n"), out::toString);
         assertEquals(first, Files.readString(node));
 
         Files.writeString(file, Files.readString(file).replace("worth: 3", "worth: 4"));
@@ -105,13 +105,13 @@
         Files.writeString(node, changed);
         assertEquals(78, run(write));
         assertEquals(changed, Files.readString(node));
-        assertTrue(out.toString().contains("changed by hand since it was written: left alone"), out::toString);
+        assertTrue(out.toString().contains("edited by hand since it was generated: not overwritten"), out::toString);
         assertEquals(0, run("write", file.toString(), "--out", folder.resolve("nodes").toString(), "--force"));
         assertTrue(Files.readString(node).contains("attempts: 3"));
     }
 
     @Test
-    void explanationNamesTheRouteAndWhyTheOthersLost() throws Exception {
+    void explainsTheRouteAndWhyOthersDoNotApply() throws Exception {
         Path file = Files.writeString(folder.resolve("c.yaml"), EditCase.resource("configuration.yaml"));
         NodeConfig config = CheckedFiles.of(List.of(file), InvalidFilesTest.MACHINE).configs.get(file);
         Map<String, String> lines = Explanation.of(config, "GET", URI.create("http://h:8080/slots/4?x=1"), Map.of());
@@ -119,16 +119,16 @@
         assertEquals("/slots/4?x=1", lines.get("goes on as"));
         assertEquals("1500 ms", lines.get("deadline"));
         assertEquals("path is not /visits or below", lines.get("not book"));
-        assertEquals("404 at once: no route holds",
+        assertEquals("404 at once: no route matches",
             Explanation.of(config, "POST", URI.create("http://h:8080/slots"), Map.of()).get("answer"));
         assertEquals("out (path /)",
             Explanation.of(config, "POST", URI.create("http://h:9101/slots"), Map.of()).get("route"));
         assertEquals(0, run("explain", file.toString(), "POST", "http://clinic/visits", "X-Beta: 1"), err::toString);
-        assertTrue(out.toString().contains("attempts: at most 3, a further one only if all before never ran\n"));
+        assertTrue(out.toString().contains("attempts: at most 3, a further one only if no earlier one was executed\n"));
     }
 
     @Test
-    void schemaNamesEveryKey() {
+    void printsSchemasWithTheirKeys() {
         assertEquals(0, run("schema"));
         assertEquals(0, run("schema", "configuration"));
         assertEquals(0, run("schema", "list"));
