--- a/src/main/java/onyxpaddle/command/AdminClient.java
+++ b/src/main/java/onyxpaddle/command/AdminClient.java
@@ -13,25 +13,25 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.TypeConversionException;
 
-/** A call at a node's operators' door. */
+/** Client of a node's admin interface. */
 final class AdminClient {
-    /** The door answers within a second; a busy machine may be slower. */
-    private static final Duration PATIENCE = Duration.ofSeconds(5);
+    /** Nodes answer within a second; the margin is for busy machines. */
+    private static final Duration TIMEOUT = Duration.ofSeconds(5);
 
     private AdminClient() {
     }
 
-    /** {@code admin}: null for what $GW_ADMIN says. */
-    static HttpResponse<String> ask(CommandSpec spec, HostPort admin, String method, String path)
+    /** Sends a request to {@code admin}, or to $GW_ADMIN if that is null. */
+    static HttpResponse<String> send(CommandSpec spec, HostPort admin, String method, String path)
             throws IOException, InterruptedException {
-        String told = System.getenv("GW_ADMIN");
-        HostPort at = admin != null || told == null ? admin : new Address().convert(told);
+        String fromEnvironment = System.getenv("GW_ADMIN");
+        HostPort at = admin != null || fromEnvironment == null ? admin : new AddressConverter().convert(fromEnvironment);
         if (at == null) {
-            throw new ParameterException(spec.commandLine(), "where? --admin ADDRESS, or $GW_ADMIN");
+            throw new ParameterException(spec.commandLine(), "no admin address: give --admin ADDRESS, or set $GW_ADMIN");
         }
-        HttpClient client = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).connectTimeout(PATIENCE).build();
+        HttpClient client = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).connectTimeout(TIMEOUT).build();
         try {
-            return client.send(HttpRequest.newBuilder(URI.create("http://" + at + path)).timeout(PATIENCE)
+            return client.send(HttpRequest.newBuilder(URI.create("http://" + at + path)).timeout(TIMEOUT)
                 .method(method, HttpRequest.BodyPublishers.noBody()).build(), HttpResponse.BodyHandlers.ofString());
         } catch (IOException e) {
             throw new IOException(at + " does not answer: " + (e instanceof ConnectException ? "nothing listens there"
@@ -39,7 +39,7 @@
         }
     }
 
-    static final class Address implements ITypeConverter<HostPort> {
+    static final class AddressConverter implements ITypeConverter<HostPort> {
         @Override
         public HostPort convert(String text) {
             HostPort address = HostPort.parse(text);
--- a/src/main/java/onyxpaddle/command/BgpCommand.java
+++ b/src/main/java/onyxpaddle/command/BgpCommand.java
@@ -17,12 +17,12 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** What a node announces by BGP: by its file, and as it runs. */
+/** Shows what a node announces by BGP, from its configuration file or from the running node. */
 @Command(name = "bgp", mixinStandardHelpOptions = true, synopsisSubcommandLabel = "COMMAND",
-    description = "Checks what a node's file announces by BGP, or shows what a running node does.",
+    description = "Checks the BGP section of a node's configuration, or shows the BGP state of a running node.",
     footer = "%nExample: lupinmount bgp check deploy/bgp/booking.node.yaml")
 final class BgpCommand implements Callable<Integer> {
-    private static final int FAULTS = 78;
+    private static final int INVALID_FILE = 78;
 
     @Spec
     private CommandSpec spec;
@@ -34,14 +34,14 @@
     }
 
     @Command(name = "check", mixinStandardHelpOptions = true,
-        description = "Checks a node's configuration, and tells what it would announce, to whom, and while which pools serve.")
+        description = "Checks a node's configuration, and shows what it would announce, to which peers and for which pools.")
     int check(@Parameters(paramLabel = "FILE") Path file) {
         PrintWriter out = spec.commandLine().getOut();
         Faults faults = new Faults();
         NodeConfig config = NodeConfigReader.file(file, MachineLimits.ofThisMachine(), faults);
         if (config == null) {
             faults.list().forEach(spec.commandLine().getErr()::println);
-            return FAULTS;
+            return INVALID_FILE;
         }
         BgpConfig bgp = config.bgp();
         if (bgp == null) {
@@ -49,8 +49,8 @@
             return 0;
         }
         bgp.addresses().values().forEach(a -> out.println(a.name() + ": " + String.join(", ", a.prefixes()) + " while "
-            + (a.anyPool() ? "any of " : "all of ") + String.join(", ", a.pools()) + " serve; badly served it is "
-            + (a.withdrawDegraded() && !a.lastAnnouncer() ? "withdrawn" : "announced as worse")));
+            + (a.anyPool() ? "any of " : "all of ") + String.join(", ", a.pools()) + " serve; while degraded it is "
+            + (a.withdrawDegraded() && !a.lastAnnouncer() ? "withdrawn" : "deprioritised")));
         bgp.peers().values().forEach(p -> out.println(p.name() + ": " + p.address() + ", AS " + p.as()
             + (p.as() == bgp.as() ? " (internal)" : " (external)") + ", IPv4 by " + p.nextHop4() + ", IPv6 by "
             + (p.nextHop6() == null ? "none" : p.nextHop6()) + (p.passive() ? ", waited for" : ", dialled")));
@@ -58,11 +58,11 @@
     }
 
     @Command(name = "show", mixinStandardHelpOptions = true,
-        description = "Shows a running node's sessions and addresses, as JSON, by its operators' door.")
-    int show(@Option(names = "--admin", paramLabel = "ADDRESS", converter = AdminClient.Address.class,
-            description = "where the node listens for operators; without it what $GW_ADMIN says") HostPort admin)
+        description = "Shows the sessions and addresses of a running node, as JSON.")
+    int show(@Option(names = "--admin", paramLabel = "ADDRESS", converter = AdminClient.AddressConverter.class,
+            description = "the admin address of the node; defaults to $GW_ADMIN") HostPort admin)
             throws IOException, InterruptedException {
-        HttpResponse<String> answer = AdminClient.ask(spec, admin, "GET", "/bgp");
+        HttpResponse<String> answer = AdminClient.send(spec, admin, "GET", "/bgp");
         spec.commandLine().getOut().print(answer.statusCode() == 404 ? "announces nothing\n" : answer.body());
         return answer.statusCode() == 200 ? 0 : Lupinmount.CANNOT_RUN;
     }
--- a/src/main/java/onyxpaddle/command/CapacityCommand.java
+++ b/src/main/java/onyxpaddle/command/CapacityCommand.java
@@ -11,12 +11,12 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** What the fleet needs, as a page. */
+/** Renders the capacity page from measured figures. */
 @Command(name = "capacity", mixinStandardHelpOptions = true, synopsisSubcommandLabel = "COMMAND",
-    description = "Shows what the fleet needs at the size to design for, from measured figures.",
+    description = "Computes what the fleet needs at its design size, from measured figures.",
     footer = "%nExample: lupinmount capacity render --figures target/scale.json --figures target/added-time.json --out docs/CAPACITY.md")
 final class CapacityCommand implements Callable<Integer> {
-    private static final int FAULTS = 78;
+    private static final int INVALID_FILE = 78;
 
     @Spec
     private CommandSpec spec;
@@ -28,19 +28,19 @@
     }
 
     @Command(name = "render", mixinStandardHelpOptions = true,
-        description = "Makes the page; what no file holds is shown as not measured.")
+        description = "Renders the page; figures that no file has are shown as not measured.")
     int render(
             @Option(names = "--figures", paramLabel = "FILE", required = true,
-                description = "what `bin/measure scale` or `added-time` wrote by --json; may be given several times") List<Path> figures,
+                description = "the output of `bin/measure scale` or `added-time` with --json; may be repeated") List<Path> figures,
             @Option(names = "--machine", paramLabel = "TEXT", defaultValue = "",
-                description = "the state that the machine was in, such as `quiet`") String machine,
+                description = "the state of the machine during the measurement, such as `quiet`") String machine,
             @Option(names = "--out", paramLabel = "FILE",
-                description = "writes the page there, whole or not at all; without it, it is printed") Path out) throws IOException {
+                description = "the file to write the page to, atomically; without it, the page is printed") Path out) throws IOException {
         Faults faults = new Faults();
         String page = CapacityRenderer.page(figures, machine, faults);
         if (page == null) {
             faults.list().forEach(spec.commandLine().getErr()::println);
-            return FAULTS;
+            return INVALID_FILE;
         }
         if (out == null) {
             spec.commandLine().getOut().print(page);
--- a/src/main/java/onyxpaddle/command/ControlCommand.java
+++ b/src/main/java/onyxpaddle/command/ControlCommand.java
@@ -19,13 +19,13 @@
 import picocli.CommandLine.Spec;
 import picocli.CommandLine.TypeConversionException;
 
-/** Control processes: running one, publishing changes of configuration, and seeing where they are in force. */
+/** Runs control processes, publishes configuration changes and shows which nodes apply them. */
 @Command(name = "control", mixinStandardHelpOptions = true, synopsisSubcommandLabel = "COMMAND",
     subcommands = {ControlCommand.Serve.class, ControlPublish.class, ControlStatus.class},
-    description = "Runs a control process, publishes changes of configuration to nodes, or shows where they are in force.",
+    description = "Runs a control process, publishes configuration changes to nodes, or shows which versions are in force.",
     footer = "%nExample: lupinmount control status --control 127.0.0.1:9901,127.0.0.1:9902")
 final class ControlCommand implements Callable<Integer> {
-    static final int FAULTS = 78;
+    static final int INVALID_FILE = 78;
 
     @Spec
     private CommandSpec spec;
@@ -44,33 +44,34 @@
         @Spec
         private CommandSpec spec;
 
-        @Option(names = "--listen", required = true, paramLabel = "ADDRESS", converter = AdminClient.Address.class,
-            description = "where nodes, other control processes and operators call")
+        @Option(names = "--listen", required = true, paramLabel = "ADDRESS", converter = AdminClient.AddressConverter.class,
+            description = "the address for nodes, other control processes and operators")
         private HostPort listen;
 
-        @Option(names = "--id", required = true, paramLabel = "NAME", description = "its name among the control processes")
+        @Option(names = "--id", required = true, paramLabel = "NAME", description = "a unique name among the control processes")
         private String id;
 
-        @Option(names = "--state", required = true, paramLabel = "DIR", description = "where it keeps its state; of no other process")
-        private Path folder;
+        @Option(names = "--state", required = true, paramLabel = "DIR",
+            description = "the directory of its state, used by no other process")
+        private Path directory;
 
-        @Option(names = "--publisher", description = "takes changes; there is one publisher at a time")
+        @Option(names = "--publisher", description = "accepts changes; there must be one publisher at a time")
         private boolean publisher;
 
         @Option(names = "--epoch", paramLabel = "N",
-            description = "the publisher's epoch: 1 for the first, then one more at each take-over")
+            description = "the publisher's epoch: 1 for the first one, increased by 1 at each take-over")
         private long epoch;
 
-        @Option(names = "--take-over-from", paramLabel = "ADDRESS", split = ",", converter = AdminClient.Address.class,
-            description = "control processes from which a publisher copies the newest state before it begins its epoch")
+        @Option(names = "--take-over-from", paramLabel = "ADDRESS", split = ",", converter = AdminClient.AddressConverter.class,
+            description = "control processes from which a publisher copies the newest state before its epoch starts")
         private List<HostPort> takeOverFrom = List.of();
 
-        @Option(names = "--follow", paramLabel = "ADDRESS", split = ",", converter = AdminClient.Address.class,
-            description = "the publisher and the other replicas, which a replica follows")
+        @Option(names = "--follow", paramLabel = "ADDRESS", split = ",", converter = AdminClient.AddressConverter.class,
+            description = "the publisher and the other replicas that a replica follows")
         private List<HostPort> follow = List.of();
 
-        @Option(names = "--whole-rate", paramLabel = "SIZE", converter = Size.class, defaultValue = "8 MiB",
-            description = "how many bytes of whole answers go out in a second, at most; ${DEFAULT-VALUE} if not said")
+        @Option(names = "--whole-rate", paramLabel = "SIZE", converter = SizeConverter.class, defaultValue = "8 MiB",
+            description = "the maximum rate of full updates, per second; default: ${DEFAULT-VALUE}")
         private long wholeRate;
 
         @Override
@@ -79,57 +80,57 @@
             List<HostPort> others = follow.stream().filter(at -> !at.equals(listen)).toList();
             try {
                 ControlProcess process = ControlProcess.start(
-                    new ControlSettings(listen, id, folder, publisher ? epoch : 0, takeOverFrom, others, wholeRate));
+                    new ControlSettings(listen, id, directory, publisher ? epoch : 0, takeOverFrom, others, wholeRate));
                 Runtime.getRuntime().addShutdownHook(new Thread(process::close, "end"));
                 return -1;
             } catch (StartRefusedException e) {
                 spec.commandLine().getErr().println("lupinmount: " + e.getMessage());
-                return FAULTS;
+                return INVALID_FILE;
             }
         }
 
         private void check() {
             require(EntryKey.isName(id), "--id: lower-case letters, digits and hyphens");
-            require(wholeRate > 0, "--whole-rate: more than nothing");
-            require(!publisher || epoch > 0 && epoch <= ConfigurationVersion.MAX, "--publisher: with --epoch N, from 1 on");
-            require(!publisher || follow.isEmpty(), "--follow: a publisher follows nobody");
+            require(wholeRate > 0, "--whole-rate: must be above 0");
+            require(!publisher || epoch > 0 && epoch <= ConfigurationVersion.MAX, "--publisher: requires --epoch N, from 1 on");
+            require(!publisher || follow.isEmpty(), "--follow: not allowed with --publisher");
             require(publisher || epoch == 0 && takeOverFrom.isEmpty(), "--epoch, --take-over-from: only with --publisher");
-            require(publisher || !follow.isEmpty(), "a replica is told whom to --follow, a publisher is one by --publisher");
+            require(publisher || !follow.isEmpty(), "one of --follow, for a replica, and --publisher is required");
         }
 
-        private void require(boolean fine, String right) {
-            if (!fine) {
-                throw new ParameterException(spec.commandLine(), right);
+        private void require(boolean valid, String message) {
+            if (!valid) {
+                throw new ParameterException(spec.commandLine(), message);
             }
         }
     }
 
-    /** Sizes with their unit. */
-    static final class Size implements ITypeConverter<Long> {
+    /** Converts sizes with a unit to bytes. */
+    static final class SizeConverter implements ITypeConverter<Long> {
         @Override
         public Long convert(String text) {
             long size = Units.parseSize(text);
             if (size < 0) {
-                throw new TypeConversionException("`" + text + "` is no size; such as `8 MiB`");
+                throw new TypeConversionException("`" + text + "` is not a valid size; such as `8 MiB`");
             }
             return size;
         }
     }
 
-    /** Times with their unit, in nanoseconds. */
-    static final class Span implements ITypeConverter<Long> {
+    /** Converts times with a unit to nanoseconds. */
+    static final class SpanConverter implements ITypeConverter<Long> {
         @Override
         public Long convert(String text) {
             long span = Units.parseSpan(text);
             if (span < 0) {
-                throw new TypeConversionException("`" + text + "` is no time; such as `8 s`");
+                throw new TypeConversionException("`" + text + "` is not a valid time; such as `8 s`");
             }
             return span;
         }
     }
 
-    /** Versions such as {@code 1.42}. */
-    static final class Version implements ITypeConverter<ConfigurationVersion> {
+    /** Converts versions such as {@code 1.42}. */
+    static final class VersionConverter implements ITypeConverter<ConfigurationVersion> {
         @Override
         public ConfigurationVersion convert(String text) {
             try {
@@ -140,8 +141,8 @@
         }
     }
 
-    /** Keys of entries. */
-    static final class KeyText implements ITypeConverter<EntryKey> {
+    /** Converts the keys of entries. */
+    static final class KeyConverter implements ITypeConverter<EntryKey> {
         @Override
         public EntryKey convert(String text) {
             try {
--- a/src/main/java/onyxpaddle/command/ControlPublish.java
+++ b/src/main/java/onyxpaddle/command/ControlPublish.java
@@ -28,44 +28,44 @@
 import picocli.CommandLine.Spec;
 import picocli.CommandLine.TypeConversionException;
 
-/** Publishes changes of configuration: all of one call are one version, or nothing. */
+/** Publishes configuration changes: all changes of one call become one version, or none is published. */
 @Command(name = "publish", mixinStandardHelpOptions = true,
-    description = {"Publishes sections of configuration, each from a file of its own, as one version.",
-        "Prints the version. KEY is fleet/PATH, service/NAME/PATH or node/NAME/PATH; PATH a key of a node's configuration such as",
-        "`routes`, or a named section of it such as `pools.records`. A later scope goes before an earlier one."},
+    description = {"Publishes configuration sections, each from its own file, as one version.",
+        "Prints the version. KEY is fleet/PATH, service/NAME/PATH or node/NAME/PATH; PATH is a key of a node's configuration such as",
+        "`routes`, or a named section of it such as `pools.records`. Node entries override service entries, which override fleet ones."},
     footer = "%nExample: lupinmount control publish --publisher 127.0.0.1:9901 service/booking/pools.records=records.yaml")
 final class ControlPublish implements Callable<Integer> {
     private static final int OK = 200;
     private static final int NOT_YET_CONFIRMED = 202;
-    private static final int FAULTS = 422;
-    private static final int MOST_ANSWER = 1 << 20;
-    /** Over what the publisher may wait for replicas. */
-    private static final Duration SLACK = Duration.ofSeconds(10);
+    private static final int REFUSED = 422;
+    private static final int MAX_ANSWER_BYTES = 1 << 20;
+    /** Time-out beyond the time for which the publisher waits for replicas. */
+    private static final Duration TIMEOUT_MARGIN = Duration.ofSeconds(10);
 
     @Spec
     private CommandSpec spec;
 
-    @Option(names = "--publisher", required = true, paramLabel = "ADDRESS", converter = AdminClient.Address.class,
-        description = "where the publisher listens")
+    @Option(names = "--publisher", required = true, paramLabel = "ADDRESS", converter = AdminClient.AddressConverter.class,
+        description = "the address of the publisher")
     private HostPort publisher;
 
-    @Option(names = "--base", paramLabel = "E.N", converter = ControlCommand.Version.class,
+    @Option(names = "--base", paramLabel = "E.N", converter = ControlCommand.VersionConverter.class,
         description = "refuse the changes if one of their keys has changed after this version")
     private ConfigurationVersion base;
 
     @Option(names = "--acks", paramLabel = "K", defaultValue = "1",
-        description = "how many replicas are to have the changes on disk before they count as published; ${DEFAULT-VALUE} if not said")
+        description = "the number of replicas that must have the changes on disk before they count as published; default: ${DEFAULT-VALUE}")
     private int acks;
 
-    @Option(names = "--wait", paramLabel = "TIME", converter = ControlCommand.Span.class, defaultValue = "5 s",
-        description = "how long to wait for the replicas, at most 30 s; ${DEFAULT-VALUE} if not said")
+    @Option(names = "--wait", paramLabel = "TIME", converter = ControlCommand.SpanConverter.class, defaultValue = "5 s",
+        description = "how long to wait for the replicas, at most 30 s; default: ${DEFAULT-VALUE}")
     private long waitNanos;
 
-    @Option(names = "--remove", paramLabel = "KEY", converter = ControlCommand.KeyText.class, description = "an entry to remove")
+    @Option(names = "--remove", paramLabel = "KEY", converter = ControlCommand.KeyConverter.class, description = "an entry to remove")
     private List<EntryKey> removed = List.of();
 
     @Parameters(paramLabel = "KEY=FILE", arity = "0..*", description = "an entry, and the file with the YAML of its section")
-    private List<String> given = List.of();
+    private List<String> entries = List.of();
 
     private final Map<String, String> files = new LinkedHashMap<>();
 
@@ -75,7 +75,7 @@
         List<Change> changes = changes(faults);
         if (faults.any()) {
             faults.list().forEach(spec.commandLine().getErr()::println);
-            return ControlCommand.FAULTS;
+            return ControlCommand.INVALID_FILE;
         }
         byte[] body = ChangeJson.write(new ChangeRequest(base, changes));
         if (body.length > ChangeJson.MAX_BYTES) {
@@ -83,13 +83,13 @@
         }
         long waitMs = Duration.ofNanos(waitNanos).toMillis();
         Response response = new ControlClient().post(publisher, "/v1/changes?acks=" + acks + "&wait_ms=" + waitMs, body,
-            Duration.ofMillis(waitMs).plus(SLACK), MOST_ANSWER);
-        return told(response.status(), PublishAnswer.read(response.body()));
+            Duration.ofMillis(waitMs).plus(TIMEOUT_MARGIN), MAX_ANSWER_BYTES);
+        return report(response.status(), PublishAnswer.read(response.body()));
     }
 
     private List<Change> changes(Faults faults) {
         Map<EntryKey, Change> changes = new LinkedHashMap<>();
-        for (String each : given) {
+        for (String each : entries) {
             int equals = each.indexOf('=');
             EntryKey key = key(equals < 0 ? each : each.substring(0, equals));
             if (equals < 0) {
@@ -108,7 +108,7 @@
 
     private EntryKey key(String text) {
         try {
-            return new ControlCommand.KeyText().convert(text);
+            return new ControlCommand.KeyConverter().convert(text);
         } catch (TypeConversionException e) {
             throw new ParameterException(spec.commandLine(), e.getMessage(), e);
         }
@@ -120,7 +120,7 @@
         }
     }
 
-    private int told(int status, PublishAnswer answer) {
+    private int report(int status, PublishAnswer answer) {
         PrintWriter err = spec.commandLine().getErr();
         if (status == OK) {
             spec.commandLine().getOut().println(answer.version());
@@ -132,11 +132,11 @@
                 + " replicas have confirmed it in time");
             return Lupinmount.CANNOT_RUN;
         }
-        answer.reasons().forEach(reason -> err.println(status == FAULTS ? inFile(reason) : publisher + ": " + reason));
-        return status == FAULTS ? ControlCommand.FAULTS : Lupinmount.CANNOT_RUN;
+        answer.reasons().forEach(reason -> err.println(status == REFUSED ? inFile(reason) : publisher + ": " + reason));
+        return status == REFUSED ? ControlCommand.INVALID_FILE : Lupinmount.CANNOT_RUN;
     }
 
-    /** A fault's place names the key; the file is what the operator has before them. */
+    /** Replaces the key at the start of a fault, which is its place for the publisher, by the operator's file. */
     private String inFile(String fault) {
         int colon = fault.indexOf(':');
         String key = colon < 0 ? fault : fault.substring(0, colon);
--- a/src/main/java/onyxpaddle/command/ControlStatus.java
+++ b/src/main/java/onyxpaddle/command/ControlStatus.java
@@ -20,62 +20,62 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** Who has which version in force, and who refused, by what nodes last said to any control process. */
+/** Shows the version that each node has in force or refused, by its latest report to any control process. */
 @Command(name = "status",
-    description = {"Lists control processes and nodes: which version each has in force, and what it refused.",
-        "With --version: exit code 0 once all nodes that were heard of within 30 s have it or a later one in force,",
+    description = {"Lists control processes and nodes: the version that each has in force, and the one that it refused.",
+        "With --version: exit code 0 once all nodes that reported within 30 s have it or a later one in force,",
         "1 if some do not, 78 if one of these refused it."},
     footer = "%nExample: lupinmount control status --control 127.0.0.1:9901,127.0.0.1:9902 --version 1.2 --within 8s")
 final class ControlStatus implements Callable<Integer> {
-    private static final Duration PATIENCE = Duration.ofSeconds(3);
-    private static final Duration PAUSE = Duration.ofMillis(250);
+    private static final Duration TIMEOUT = Duration.ofSeconds(3);
+    private static final Duration POLL_INTERVAL = Duration.ofMillis(250);
 
     @Spec
     private CommandSpec spec;
 
     @Option(names = {"-h", "--help"}, usageHelp = true,
-        description = "shows this help; -V is left out, as --version is the configuration's here")
+        description = "shows this help; there is no -V, as --version is that of the configuration")
     private boolean help;
 
-    @Option(names = "--control", required = true, split = ",", paramLabel = "ADDRESS", converter = AdminClient.Address.class,
+    @Option(names = "--control", required = true, split = ",", paramLabel = "ADDRESS", converter = AdminClient.AddressConverter.class,
         description = "the control processes")
     private List<HostPort> control;
 
-    @Option(names = "--version", paramLabel = "E.N", converter = ControlCommand.Version.class,
-        description = "the version that is waited for")
+    @Option(names = "--version", paramLabel = "E.N", converter = ControlCommand.VersionConverter.class,
+        description = "the version to wait for")
     private ConfigurationVersion version;
 
-    @Option(names = "--within", paramLabel = "TIME", converter = ControlCommand.Span.class, defaultValue = "0 ms",
-        description = "how long to wait until it is in force; once only if not said")
+    @Option(names = "--within", paramLabel = "TIME", converter = ControlCommand.SpanConverter.class, defaultValue = "0 ms",
+        description = "how long to wait until it is in force; without it, the status is read once")
     private long withinNanos;
 
     private final ControlClient client = new ControlClient();
 
     @Override
     public Integer call() throws IOException, InterruptedException {
-        long until = System.nanoTime() + withinNanos;
-        FleetStatus fleet = ask();
-        while (version != null && !fleet.inForce(version) && System.nanoTime() - until < 0) {
-            Thread.sleep(PAUSE.toMillis());
-            fleet = ask();
+        long deadline = System.nanoTime() + withinNanos;
+        FleetStatus fleet = fetchStatus();
+        while (version != null && !fleet.inForce(version) && System.nanoTime() - deadline < 0) {
+            Thread.sleep(POLL_INTERVAL.toMillis());
+            fleet = fetchStatus();
         }
         print(fleet);
-        return fleet.processes().isEmpty() ? Lupinmount.CANNOT_RUN : code(fleet);
+        return fleet.processes().isEmpty() ? Lupinmount.CANNOT_RUN : exitCode(fleet);
     }
 
-    private int code(FleetStatus fleet) {
+    private int exitCode(FleetStatus fleet) {
         if (version == null || fleet.inForce(version)) {
             return 0;
         }
-        return fleet.refused(version).isEmpty() ? Lupinmount.CANNOT_RUN : ControlCommand.FAULTS;
+        return fleet.refused(version).isEmpty() ? Lupinmount.CANNOT_RUN : ControlCommand.INVALID_FILE;
     }
 
-    private FleetStatus ask() throws InterruptedException {
+    private FleetStatus fetchStatus() throws InterruptedException {
         List<Status> statuses = new ArrayList<>();
         List<String> failures = new ArrayList<>();
         for (HostPort at : control) {
             try {
-                Response response = client.get(at, "/v1/status", PATIENCE, StatusJson.MAX_BYTES);
+                Response response = client.get(at, "/v1/status", TIMEOUT, StatusJson.MAX_BYTES);
                 if (response.status() == 200) {
                     statuses.add(StatusJson.read(response.body()));
                 } else {
--- a/src/main/java/onyxpaddle/command/NodeCommand.java
+++ b/src/main/java/onyxpaddle/command/NodeCommand.java
@@ -20,9 +20,9 @@
 import picocli.CommandLine.ScopeType;
 import picocli.CommandLine.Spec;
 
-/** What on-call staff ask of a running node, at its operators' door. */
+/** Queries and controls a running node by its admin interface. */
 @Command(name = "node", mixinStandardHelpOptions = true, synopsisSubcommandLabel = "COMMAND",
-    description = "Asks a running node, or tells it, at its operators' door.",
+    description = "Queries or controls a running node by its admin interface.",
     exitCodeListHeading = "%nExit codes:%n",
     exitCodeList = {"0:yes, or done", "1:no, or no answer", "64:wrong usage"},
     footer = "%nExample: lupinmount node ready --admin 127.0.0.1:9800")
@@ -30,8 +30,8 @@
     @Spec
     private CommandSpec spec;
 
-    @Option(names = "--admin", paramLabel = "ADDRESS", converter = AdminClient.Address.class, scope = ScopeType.INHERIT,
-        description = "where the node listens for operators; without it what $GW_ADMIN says")
+    @Option(names = "--admin", paramLabel = "ADDRESS", converter = AdminClient.AddressConverter.class, scope = ScopeType.INHERIT,
+        description = "the admin address of the node; defaults to $GW_ADMIN")
     private HostPort admin;
 
     @Override
@@ -40,42 +40,42 @@
         return Lupinmount.USAGE;
     }
 
-    @Command(name = "ready", description = "Whether the node takes work.")
+    @Command(name = "ready", description = "Shows whether the node is ready.")
     int ready() throws IOException, InterruptedException {
-        return tell(ask("GET", "/ready"));
+        return report(send("GET", "/ready"));
     }
 
-    @Command(name = "drain", description = "Empties the node; it stays up.")
+    @Command(name = "drain", description = "Drains the node; it stays up.")
     int drain() throws IOException, InterruptedException {
-        return tell(ask("POST", "/drain"));
+        return report(send("POST", "/drain"));
     }
 
-    @Command(name = "undrain", description = "Puts the node back to work.")
+    @Command(name = "undrain", description = "Ends the drain of the node.")
     int undrain() throws IOException, InterruptedException {
-        return tell(ask("POST", "/undrain"));
+        return report(send("POST", "/undrain"));
     }
 
-    @Command(name = "figures", description = "The node's figures, in Prometheus' text format.")
+    @Command(name = "figures", description = "Shows the node's metrics, in Prometheus text format.")
     int figures() throws IOException, InterruptedException {
-        return tell(ask("GET", "/metrics"));
+        return report(send("GET", "/metrics"));
     }
 
-    @Command(name = "disable", description = "Takes a server out: nothing new goes to it from this node.")
+    @Command(name = "disable", description = "Disables a server: this node sends it no new requests.")
     int disable(@Parameters(paramLabel = "SERVER", description = "its id") String server) throws IOException, InterruptedException {
-        return tell(ask("POST", "/servers/disable?id=" + URLEncoder.encode(server, StandardCharsets.UTF_8)));
+        return report(send("POST", "/servers/disable?id=" + URLEncoder.encode(server, StandardCharsets.UTF_8)));
     }
 
-    @Command(name = "enable", description = "Puts a server back that was taken out.")
+    @Command(name = "enable", description = "Enables a disabled server.")
     int enable(@Parameters(paramLabel = "SERVER", description = "its id") String server) throws IOException, InterruptedException {
-        return tell(ask("POST", "/servers/enable?id=" + URLEncoder.encode(server, StandardCharsets.UTF_8)));
+        return report(send("POST", "/servers/enable?id=" + URLEncoder.encode(server, StandardCharsets.UTF_8)));
     }
 
-    @Command(name = "servers", description = {"How each server stands with the node: its state, the part of its draws that failures",
-        "leave it, its round trips against what is usual (1 is), and what it has now."})
-    int servers(@Option(names = "--json", description = "for machines") boolean asJson) throws IOException, InterruptedException {
-        HttpResponse<String> answer = ask("GET", "/servers");
+    @Command(name = "servers", description = {"Shows each server: its state, the fraction of its draws that remains after failures,",
+        "its mean round trip relative to the expected one (1), and its requests in flight."})
+    int servers(@Option(names = "--json", description = "prints JSON") boolean asJson) throws IOException, InterruptedException {
+        HttpResponse<String> answer = send("GET", "/servers");
         if (asJson || answer.statusCode() != 200) {
-            return tell(answer);
+            return report(answer);
         }
         String row = "%-16s %-24s %-10s %-24s %6s %7s %4s%n";
         spec.commandLine().getOut().printf(row, "POOL", "SERVER", "ZONE", "STATE", "CHANCE", "MEAN", "OUT");
@@ -93,12 +93,12 @@
         return state.append("true".equals(server.get("doubted")) ? ", doubted" : "").toString();
     }
 
-    /** An array of flat objects; what else the answer may be is an error. */
+    /** Parses an array of flat objects; any other answer is an error. */
     private static List<Map<String, String>> rows(String json) throws IOException {
         List<Map<String, String>> rows = new ArrayList<>();
         try (JsonParser p = new JsonFactory().createParser(json)) {
             if (p.nextToken() != JsonToken.START_ARRAY) {
-                throw new IOException("not a list of servers");
+                throw new IOException("the answer is not a list of servers");
             }
             while (p.nextToken() == JsonToken.START_OBJECT) {
                 Map<String, String> row = new LinkedHashMap<>();
@@ -113,12 +113,12 @@
         return rows;
     }
 
-    private int tell(HttpResponse<String> answer) {
+    private int report(HttpResponse<String> answer) {
         spec.commandLine().getOut().print(answer.body());
         return answer.statusCode() / 100 == 2 ? 0 : Lupinmount.CANNOT_RUN;
     }
 
-    private HttpResponse<String> ask(String method, String path) throws IOException, InterruptedException {
-        return AdminClient.ask(spec, admin, method, path);
+    private HttpResponse<String> send(String method, String path) throws IOException, InterruptedException {
+        return AdminClient.send(spec, admin, method, path);
     }
 }
--- a/src/main/java/onyxpaddle/command/SiteCommand.java
+++ b/src/main/java/onyxpaddle/command/SiteCommand.java
@@ -13,16 +13,16 @@
 import picocli.CommandLine.ScopeType;
 import picocli.CommandLine.Spec;
 
-/** The operators' word on a site, at one node. */
+/** Holds and releases sites at one node. */
 @Command(name = "site", mixinStandardHelpOptions = true, synopsisSubcommandLabel = "COMMAND",
-    description = "Holds a site at a running node, releases it, or shows how sites stand with the node.",
+    description = "Holds a site at a running node, releases it, or shows the state of the sites.",
     footer = "%nExample: lupinmount site hold north --admin 127.0.0.1:9800")
 final class SiteCommand implements Callable<Integer> {
     @Spec
     private CommandSpec spec;
 
-    @Option(names = "--admin", paramLabel = "ADDRESS", converter = AdminClient.Address.class, scope = ScopeType.INHERIT,
-        description = "where the node listens for operators; without it what $GW_ADMIN says")
+    @Option(names = "--admin", paramLabel = "ADDRESS", converter = AdminClient.AddressConverter.class, scope = ScopeType.INHERIT,
+        description = "the admin address of the node; defaults to $GW_ADMIN")
     private HostPort admin;
 
     @Override
@@ -31,24 +31,24 @@
         return Lupinmount.USAGE;
     }
 
-    @Command(name = "state", description = "How each site stands, as JSON.")
+    @Command(name = "state", description = "Shows the state of each site, as JSON.")
     int state() throws IOException, InterruptedException {
-        return told(AdminClient.ask(spec, admin, "GET", "/sites"), "the node knows of no sites");
+        return report(AdminClient.send(spec, admin, "GET", "/sites"), "the node has no sites");
     }
 
-    @Command(name = "hold", description = "Nothing new goes there from this node until it is released, whatever the node sees.")
+    @Command(name = "hold", description = "Stops new requests from this node to the site until it is released, whatever its state.")
     int hold(@Parameters(paramLabel = "SITE") String site) throws IOException, InterruptedException {
-        return told(AdminClient.ask(spec, admin, "POST", "/sites/hold?id=" + URLEncoder.encode(site, StandardCharsets.UTF_8)),
+        return report(AdminClient.send(spec, admin, "POST", "/sites/hold?id=" + URLEncoder.encode(site, StandardCharsets.UTF_8)),
             "the node does not know the site `" + site + "`, or holds all others");
     }
 
-    @Command(name = "release", description = "Gives a held site back, and forgets the penalty of one that is held down.")
+    @Command(name = "release", description = "Releases a held site, and clears the penalty of one that is held down.")
     int release(@Parameters(paramLabel = "SITE") String site) throws IOException, InterruptedException {
-        return told(AdminClient.ask(spec, admin, "POST", "/sites/release?id=" + URLEncoder.encode(site, StandardCharsets.UTF_8)),
+        return report(AdminClient.send(spec, admin, "POST", "/sites/release?id=" + URLEncoder.encode(site, StandardCharsets.UTF_8)),
             "the node does not know the site `" + site + "`");
     }
 
-    private int told(HttpResponse<String> answer, String unknown) {
+    private int report(HttpResponse<String> answer, String unknown) {
         if (answer.statusCode() == 404) {
             spec.commandLine().getErr().println(unknown);
         } else {
--- a/src/main/java/onyxpaddle/command/SitesCommand.java
+++ b/src/main/java/onyxpaddle/command/SitesCommand.java
@@ -24,10 +24,10 @@
 
 /** Plans for the loss of whole sites. */
 @Command(name = "sites", mixinStandardHelpOptions = true, synopsisSubcommandLabel = "COMMAND",
-    description = "Plans where load goes, and what is refused first, when whole sites are lost.",
+    description = "Plans where load goes, and what is refused first, after the loss of whole sites.",
     footer = "%nExample: lupinmount sites plan deploy/sites/booking.sites.yaml --out /tmp/booking.plan.yaml")
 final class SitesCommand implements Callable<Integer> {
-    private static final int FAULTS = 78;
+    private static final int INVALID_FILE = 78;
 
     @Spec
     private CommandSpec spec;
@@ -38,36 +38,40 @@
         return Lupinmount.USAGE;
     }
 
-    @Command(name = "plan", mixinStandardHelpOptions = true, description = "Solves the loss of each site and of each two, and shows what comes of it.")
+    @Command(name = "plan", mixinStandardHelpOptions = true,
+        description = "Plans for the loss of each site and of each pair of sites, and shows the results.")
     int plan(@Parameters(paramLabel = "SITES") Path file,
-            @Option(names = "--out", paramLabel = "PLAN", description = "writes the plan there, whole or not at all") Path out) throws IOException {
+            @Option(names = "--out", paramLabel = "PLAN",
+                description = "the file to write the plan to, atomically") Path out) throws IOException {
         Faults faults = new Faults();
         Fleet fleet = SitesReader.file(file, faults);
         if (fleet == null) {
-            return told(faults);
+            return report(faults);
         }
         FailoverPlan plan;
         try {
             plan = Planner.plan(fleet);
         } catch (NoClassDefFoundError e) {
-            return noSolver();
+            return solverMissing();
         }
         PlanReport.table(fleet, plan).forEach(spec.commandLine().getOut()::println);
         if (out != null) {
-            Path beside = out.resolveSibling(out.getFileName() + ".new");
-            Files.writeString(beside, PlanFile.text(plan));
-            Files.move(beside, out, StandardCopyOption.REPLACE_EXISTING, StandardCopyOption.ATOMIC_MOVE);
+            Path temporary = out.resolveSibling(out.getFileName() + ".new");
+            Files.writeString(temporary, PlanFile.text(plan));
+            Files.move(temporary, out, StandardCopyOption.REPLACE_EXISTING, StandardCopyOption.ATOMIC_MOVE);
         }
         return 0;
     }
 
-    @Command(name = "explain", mixinStandardHelpOptions = true, description = "Says all of one loss: where load goes, what is refused and why, the price.")
+    @Command(name = "explain", mixinStandardHelpOptions = true,
+        description = "Explains one loss: where load goes, what is refused and why, and the price.")
     int explain(@Parameters(paramLabel = "SITES") Path file,
-            @Option(names = "--lost", paramLabel = "SITE", split = ",", description = "one or more, with commas between") List<String> lost) {
+            @Option(names = "--lost", paramLabel = "SITE", split = ",",
+                description = "the lost sites, separated by commas") List<String> lost) {
         Faults faults = new Faults();
         Fleet fleet = SitesReader.file(file, faults);
         if (fleet == null) {
-            return told(faults);
+            return report(faults);
         }
         Set<String> gone = lost == null ? Set.of() : new TreeSet<>(lost);
         if (!fleet.sites().keySet().containsAll(gone) || gone.size() == fleet.sites().size()) {
@@ -78,29 +82,32 @@
             PlanReport.explain(fleet, gone).forEach(spec.commandLine().getOut()::println);
             return 0;
         } catch (NoClassDefFoundError e) {
-            return noSolver();
+            return solverMissing();
         }
     }
 
-    @Command(name = "check", mixinStandardHelpOptions = true, description = "Checks the sites' file and, where one is named, that a plan was made for it.")
+    @Command(name = "check", mixinStandardHelpOptions = true,
+        description = "Checks a sites file and, if a plan is given, that the plan was made for it.")
     int check(@Parameters(paramLabel = "SITES") Path file, @Parameters(paramLabel = "PLAN", arity = "0..1") Path plan) {
         Faults faults = new Faults();
         Fleet fleet = SitesReader.file(file, faults);
         if (fleet == null || plan != null && PlanFile.file(plan, fleet, faults) == null) {
-            return told(faults);
+            return report(faults);
         }
         PrintWriter out = spec.commandLine().getOut();
-        out.println(file + ": " + fleet.sites().size() + " sites, " + fleet.classes().size() + " classes" + (plan == null ? "" : "; " + plan + " was made for them"));
+        out.println(file + ": " + fleet.sites().size() + " sites, " + fleet.classes().size() + " classes"
+            + (plan == null ? "" : "; " + plan + " was made for them"));
         return 0;
     }
 
-    private int told(Faults faults) {
+    private int report(Faults faults) {
         faults.list().forEach(spec.commandLine().getErr()::println);
-        return FAULTS;
+        return INVALID_FILE;
     }
 
-    private int noSolver() {
-        spec.commandLine().getErr().println("the solver's library is not there: run it by bin/lupinmount, from a checkout in which `mvn package` has copied it to target/tools");
+    private int solverMissing() {
+        spec.commandLine().getErr().println(
+            "the solver library is missing: run bin/lupinmount from a checkout in which `mvn package` has copied it to target/tools");
         return Lupinmount.CANNOT_RUN;
     }
 }
--- a/src/main/java/onyxpaddle/config/ConfigView.java
+++ b/src/main/java/onyxpaddle/config/ConfigView.java
@@ -9,8 +9,8 @@
 import onyxpaddle.config.Value.Sequence;
 
 /**
- * Reads the keys of a section. It never fails: what is absent or does not fit gives the default, as {@link SchemaValidator}
- * has told what does not fit, and the checks that follow should still see all the rest.
+ * Gives typed access to the keys of a section. It never fails: absent or invalid values give the default. Invalid ones have
+ * been reported by {@link SchemaValidator}, and the checks that follow should still see the remaining values.
  */
 public final class ConfigView {
     private final Value at;
@@ -27,7 +27,7 @@
         return at.path();
     }
 
-    /** Where a key's value stands; the section itself where it has none. */
+    /** The place of a key's value, or of the section if the key has none. */
     public Place place(String key) {
         Value value = value(key);
         return value != null ? value.place() : at.place();
@@ -45,38 +45,38 @@
         return at instanceof Mapping mapping ? mapping.values().get(key) : null;
     }
 
-    private String sound(Value value, Schema.ScalarSchema plain) {
-        return value instanceof Scalar scalar && SchemaValidator.wrong(scalar.text(), plain) == null ? scalar.text() : null;
+    private String validText(Value value, Schema.ScalarSchema schema) {
+        return value instanceof Scalar scalar && SchemaValidator.wrong(scalar.text(), schema) == null ? scalar.text() : null;
     }
 
-    /** The text of this value itself, where it is plain and of that kind; null otherwise. */
+    /** The text of this value itself if it is a valid scalar of that kind; null otherwise. */
     public String self(Schema.Kind kind) {
-        return sound(at, Schema.plain(kind));
+        return validText(at, Schema.plain(kind));
     }
 
-    public String text(String key, Schema.Kind kind, String usual) {
-        String text = sound(value(key), Schema.plain(kind));
-        return text == null ? usual : text;
+    public String text(String key, Schema.Kind kind, String defaultValue) {
+        String text = validText(value(key), Schema.plain(kind));
+        return text == null ? defaultValue : text;
     }
 
-    public String word(String key, String usual, String... words) {
-        String text = sound(value(key), Schema.word(words));
-        return text == null ? usual : text;
+    public String word(String key, String defaultValue, String... words) {
+        String text = validText(value(key), Schema.word(words));
+        return text == null ? defaultValue : text;
     }
 
-    public long span(String key, long usual) {
+    public long span(String key, long defaultValue) {
         String text = text(key, Schema.Kind.SPAN, null);
-        return text == null ? usual : Units.parseSpan(text);
+        return text == null ? defaultValue : Units.parseSpan(text);
     }
 
-    public long size(String key, long usual) {
+    public long size(String key, long defaultValue) {
         String text = text(key, Schema.Kind.SIZE, null);
-        return text == null ? usual : Units.parseSize(text);
+        return text == null ? defaultValue : Units.parseSize(text);
     }
 
-    public int count(String key, int usual) {
+    public int count(String key, int defaultValue) {
         String text = text(key, Schema.Kind.COUNT, null);
-        return text == null ? usual : (int) Math.max(Integer.MIN_VALUE, Math.min(Integer.MAX_VALUE, Long.parseLong(text)));
+        return text == null ? defaultValue : (int) Math.max(Integer.MIN_VALUE, Math.min(Integer.MAX_VALUE, Long.parseLong(text)));
     }
 
     public int port(String key) {
@@ -84,14 +84,14 @@
         return text == null ? 0 : Integer.parseInt(text);
     }
 
-    public double number(String key, double usual) {
+    public double number(String key, double defaultValue) {
         String text = text(key, Schema.Kind.NUMBER, null);
-        return text == null ? usual : Double.parseDouble(text);
+        return text == null ? defaultValue : Double.parseDouble(text);
     }
 
-    public boolean flag(String key, boolean usual) {
+    public boolean flag(String key, boolean defaultValue) {
         String text = text(key, Schema.Kind.FLAG, null);
-        return text == null ? usual : text.equals("true");
+        return text == null ? defaultValue : text.equals("true");
     }
 
     public HostPort address(String key) {
@@ -99,14 +99,14 @@
         return text == null ? null : HostPort.parse(text);
     }
 
-    /** A section; an empty one where there is none. */
+    /** Returns a section, or an empty one if the key is absent. */
     public ConfigView section(String key) {
         Value value = value(key);
         return new ConfigView(value instanceof Mapping ? value
             : new Mapping(place(key), path(key), Map.of(), Map.of()));
     }
 
-    /** The items of a list; none where there is no list. */
+    /** Returns the items of a list, or none if the key is absent. */
     public List<ConfigView> items(String key) {
         List<ConfigView> items = new ArrayList<>();
         if (value(key) instanceof Sequence sequence) {
@@ -115,12 +115,12 @@
         return items;
     }
 
-    /** The plain items of a list that are of this kind. */
+    /** Returns the items of a list that are valid scalars of this kind. */
     public List<String> texts(String key, Schema.Kind kind) {
         return items(key).stream().map(item -> item.self(kind)).filter(java.util.Objects::nonNull).toList();
     }
 
-    /** The sections under chosen names, in the order of the file. */
+    /** Returns the values of a map by name, in file order. */
     public Map<String, ConfigView> named(String key) {
         Map<String, ConfigView> named = new LinkedHashMap<>();
         if (value(key) instanceof Mapping mapping) {
@@ -134,13 +134,13 @@
         return named;
     }
 
-    /** Where a name below a key stands. */
+    /** Returns the place of a name in a map. */
     public Place namePlace(String key, String name) {
         return value(key) instanceof Mapping mapping && mapping.keys().containsKey(name) ? mapping.keys().get(name)
             : place(key);
     }
 
-    /** Whether this value is a section rather than plain text. */
+    /** Whether this value is a section rather than a scalar. */
     public boolean isSection() {
         return at instanceof Mapping;
     }
--- a/src/main/java/onyxpaddle/config/Fault.java
+++ b/src/main/java/onyxpaddle/config/Fault.java
@@ -1,9 +1,11 @@
 package onyxpaddle.config;
 
 /**
- * One thing that is wrong with a file: {@code file:line:column: path: what is wrong; what would be right}.
+ * A fault in a file, printed as {@code file:line:column: path: problem; hint}.
  *
- * @param path the keys that lead there, joined by dots, empty for the file as a whole
+ * @param path the keys from the root to the value, joined by dots; empty for the file as a whole
+ * @param wrong the problem
+ * @param right a hint at a valid value
  */
 public record Fault(Place place, String path, String wrong, String right) implements Comparable<Fault> {
     @Override
--- a/src/main/java/onyxpaddle/config/Faults.java
+++ b/src/main/java/onyxpaddle/config/Faults.java
@@ -5,9 +5,9 @@
 import java.util.List;
 import java.util.TreeSet;
 
-/** All faults found in one run, in the order of their places, each once. Bounded: a file of noise has thousands. */
+/** The distinct faults found in one run, ordered by place. Bounded, as a garbage file produces thousands. */
 public final class Faults {
-    private static final int MOST = 200;
+    private static final int MAX_FAULTS = 200;
 
     private final TreeSet<Fault> found = new TreeSet<>();
     private int omitted;
@@ -17,7 +17,7 @@
     }
 
     public void add(Fault fault) {
-        if (found.size() < MOST) {
+        if (found.size() < MAX_FAULTS) {
             found.add(fault);
         } else {
             omitted++;
@@ -36,7 +36,7 @@
         return new ArrayList<>(found);
     }
 
-    /** How many more there were than are kept. */
+    /** Returns the number of faults added after the limit was reached. */
     public int omitted() {
         return omitted;
     }
--- a/src/main/java/onyxpaddle/config/HostPort.java
+++ b/src/main/java/onyxpaddle/config/HostPort.java
@@ -3,12 +3,12 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** An IP address in digits and a port. Two claim the same where one of them is of all addresses. */
+/** A numeric IP address and a port. */
 public record HostPort(String host, int port) implements Comparable<HostPort> {
     private static final Pattern V4 = Pattern.compile("(\\d{1,3})\\.(\\d{1,3})\\.(\\d{1,3})\\.(\\d{1,3}):(\\d{1,5})");
     private static final Pattern V6 = Pattern.compile("\\[([0-9A-Fa-f:.]{2,45})\\]:(\\d{1,5})");
 
-    /** Reads {@code 127.0.0.1:80} or {@code [::1]:80}; null where the text is neither. */
+    /** Reads {@code 127.0.0.1:80} or {@code [::1]:80}; returns null if the text is neither. */
     public static HostPort parse(String text) {
         Matcher four = V4.matcher(text);
         Matcher six = V6.matcher(text);
@@ -22,7 +22,7 @@
             }
             host = text.substring(0, text.lastIndexOf(':'));
             port = four.group(5);
-        } else if (six.matches() && sixGroups(six.group(1))) {
+        } else if (six.matches() && isIpv6(six.group(1))) {
             host = six.group(1).toLowerCase(java.util.Locale.ROOT);
             port = six.group(2);
         } else {
@@ -32,8 +32,8 @@
         return number > 65535 ? null : new HostPort(host, number);
     }
 
-    /** RFC 4291, 2.2: eight groups of hex digits, or fewer with one {@code ::} for the zeros left out. */
-    private static boolean sixGroups(String text) {
+    /** Checks IPv6 syntax (RFC 4291, 2.2): eight groups of hex digits, or fewer with one {@code ::} for omitted zeros. */
+    private static boolean isIpv6(String text) {
         int gap = text.indexOf("::");
         if (gap >= 0 && text.indexOf("::", gap + 1) >= 0 || text.contains(".") || text.contains(":::")) {
             return false;
@@ -45,21 +45,21 @@
             }
             groups += group.isEmpty() ? 0 : 1;
         }
-        boolean ends = text.startsWith(":") && !text.startsWith("::") || text.endsWith(":") && !text.endsWith("::");
-        return !ends && (gap >= 0 ? groups < 8 : groups == 8);
+        boolean singleColonAtEnd = text.startsWith(":") && !text.startsWith("::") || text.endsWith(":") && !text.endsWith("::");
+        return !singleColonAtEnd && (gap >= 0 ? groups < 8 : groups == 8);
     }
 
-    /** Whether this is an address of all interfaces. */
+    /** Whether this is the wildcard address. */
     public boolean any() {
         return host.equals("0.0.0.0") || host.equals("::");
     }
 
-    /** Whether listening on both would clash. An address of all interfaces covers IPv4 and IPv6 alike. */
+    /** Whether listeners on both addresses would conflict. A wildcard address covers IPv4 and IPv6 alike. */
     public boolean conflictsWith(HostPort other) {
         return port == other.port && port != 0 && (any() || other.any() || host.equals(other.host));
     }
 
-    /** Whether a connection to this address, made on this machine, reaches a listener at the other. */
+    /** Whether a connection made on this machine to this address reaches a listener at the other one. */
     public boolean reaches(HostPort listener) {
         boolean here = host.startsWith("127.") || host.equals("::1") || any();
         return port == listener.port && (host.equals(listener.host) || here && listener.any()
--- a/src/main/java/onyxpaddle/config/Ip.java
+++ b/src/main/java/onyxpaddle/config/Ip.java
@@ -3,16 +3,16 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** IP addresses, prefixes and communities as files write them; nothing is looked up. */
+/** Parses numeric IP addresses, prefixes and communities. Never resolves names. */
 public final class Ip {
     private static final Pattern PREFIX = Pattern.compile("([0-9A-Fa-f:.]{2,45})/(\\d{1,3})");
     private static final Pattern COMMUNITY = Pattern.compile("(\\d{1,5}):(\\d{1,5})");
-    private static final int HALF = 0xffff;
+    private static final int MAX_UINT16 = 0xffff;
 
     private Ip() {
     }
 
-    /** 4 or 16 octets; null where the text is no address. */
+    /** Returns 4 or 16 octets, or null if the text is not an address. */
     public static byte[] parse(String text) {
         HostPort parsed = text.length() > 45 ? null : HostPort.parse(text.contains(":") ? "[" + text + "]:0" : text + ":0");
         return parsed == null ? null : text.contains(":") ? six(parsed.host()) : four(parsed.host());
@@ -27,7 +27,7 @@
         return octets;
     }
 
-    /** RFC 4291, 2.2; the text is known to be sound. */
+    /** Parses IPv6 syntax (RFC 4291, 2.2) that {@link HostPort#parse} has validated. */
     private static byte[] six(String text) {
         byte[] octets = new byte[16];
         int gap = text.indexOf("::");
@@ -46,11 +46,11 @@
         }
     }
 
-    /** An address and the length of a prefix of it, in bits. */
+    /** A prefix: an address and the prefix length in bits. */
     public record Range(byte[] address, int bits) {
     }
 
-    /** Null where the text is no prefix, or has bits behind its length. */
+    /** Returns null if the text is not a prefix or has host bits set. */
     public static Range prefix(String text) {
         Matcher matcher = PREFIX.matcher(text);
         byte[] address = matcher.matches() ? parse(matcher.group(1)) : null;
@@ -69,7 +69,7 @@
         return new Range(address, bits);
     }
 
-    /** Null where the text is no community. */
+    /** Returns null if the text is not a community. */
     public static Integer community(String text) {
         Matcher matcher = COMMUNITY.matcher(text);
         if (!matcher.matches()) {
@@ -77,6 +77,6 @@
         }
         int high = Integer.parseInt(matcher.group(1));
         int low = Integer.parseInt(matcher.group(2));
-        return high > HALF || low > HALF ? null : high << 16 | low;
+        return high > MAX_UINT16 || low > MAX_UINT16 ? null : high << 16 | low;
     }
 }
--- a/src/main/java/onyxpaddle/config/MachineLimits.java
+++ b/src/main/java/onyxpaddle/config/MachineLimits.java
@@ -1,15 +1,15 @@
 package onyxpaddle.config;
 
 /**
- * What the machine holds, against which limits are checked; 0 where it is not known.
+ * The resources of a machine, against which configured limits are checked; 0 where unknown.
  *
- * @param descriptors the most that a process here may have open
- * @param memory bytes of memory in all
+ * @param descriptors the number of file descriptors that a process may have open
+ * @param memory total memory in bytes
  */
 public record MachineLimits(long descriptors, long memory) {
     public static final MachineLimits UNKNOWN = new MachineLimits(0, 0);
 
-    /** Those of this machine. */
+    /** Reads the limits of the machine that this process runs on. */
     public static MachineLimits ofThisMachine() {
         java.lang.management.OperatingSystemMXBean os =
             java.lang.management.ManagementFactory.getOperatingSystemMXBean();
@@ -17,7 +17,7 @@
             ? new MachineLimits(unix.getMaxFileDescriptorCount(), unix.getTotalMemorySize()) : UNKNOWN;
     }
 
-    /** Adds a fault for each limit that the machine cannot hold. */
+    /** Adds a fault for each configured limit that exceeds the machine's. */
     public void check(ConfigView limits, NodeConfig.Limits wanted, Faults faults) {
         if (descriptors > 0 && wanted.descriptors() > descriptors) {
             faults.add(limits.place("descriptors"), limits.path("descriptors"), wanted.descriptors()
--- a/src/main/java/onyxpaddle/config/NodeConfigReader.java
+++ b/src/main/java/onyxpaddle/config/NodeConfigReader.java
@@ -22,7 +22,7 @@
 import onyxpaddle.route.RouteConflicts;
 import onyxpaddle.route.RouteConflicts.Conflict;
 
-/** Reads a node's configuration and finds all that is wrong with it, of form and of sense, in one run. */
+/** Reads a node's configuration and reports all its faults, syntactic and semantic, in one run. */
 public final class NodeConfigReader {
     private static final long MS = 1_000_000L;
     private static final long S = 1_000_000_000L;
@@ -32,41 +32,45 @@
     public static final long DEFAULT_HELD = 1 << 20;
     public static final long DEFAULT_MEMORY = 64L << 20;
     public static final int DEFAULT_DESCRIPTORS = 1024;
-    /** Bytes of a folder's name that leave room for a socket's: the system takes some 100 in all. */
-    private static final int LONGEST_FOLDER = 80;
+    /** Leaves room for the name of a socket in the directory: the path of a Unix socket is limited to some 100 bytes. */
+    private static final int MAX_DIRECTORY_BYTES = 80;
     private static final long DEFAULT_CLIENT_IDLE = 60 * S;
     public static final int DEFAULT_OPEN_CALLS = 256;
-    /** Part of the servers' idle limit after which an idle connection is not used any more. */
+    /** Fraction of the servers' keep-alive time after which an idle connection is no longer reused. */
     public static final double IDLE_FRACTION = 0.7;
 
     private final ConfigView root;
-    private final Path folder;
+    private final Path directory;
     private final Faults faults;
-    /** By pool, the servers that are known already. */
-    private final Map<String, List<Server>> known = new HashMap<>();
+    /** The configured servers of each pool, from the configuration or its list file. */
+    private final Map<String, List<Server>> knownServers = new HashMap<>();
 
-    private NodeConfigReader(ConfigView root, Path folder, Faults faults) {
+    private NodeConfigReader(ConfigView root, Path directory, Faults faults) {
         this.root = root;
-        this.folder = folder;
+        this.directory = directory;
         this.faults = faults;
     }
 
-    /** The configuration in a file; null where it has any fault. */
+    /** Reads a file; returns null if it has any fault. */
     public static NodeConfig file(Path file, MachineLimits machine, Faults faults) {
-        Faults own = new Faults();
-        Value value = SourceFile.read(file, own);
-        NodeConfig config = value == null ? null : read(value, file.toAbsolutePath().getParent(), machine, own);
-        faults.addAll(own.list());
-        return own.any() ? null : config;
+        Faults fileFaults = new Faults();
+        Value value = SourceFile.read(file, fileFaults);
+        NodeConfig config = value == null ? null : read(value, file.toAbsolutePath().getParent(), machine, fileFaults);
+        faults.addAll(fileFaults.list());
+        return fileFaults.any() ? null : config;
     }
 
-    /** {@code folder}: from which list files are named. What it returns is whole only if there are no faults. */
-    public static NodeConfig read(Value value, Path folder, MachineLimits machine, Faults faults) {
+    /**
+     * Reads a parsed configuration. The result is complete only if there are no faults.
+     *
+     * @param directory the directory that relative file names refer to
+     */
+    public static NodeConfig read(Value value, Path directory, MachineLimits machine, Faults faults) {
         SchemaValidator.check(value, NodeSchema.NODE, faults);
-        return new NodeConfigReader(new ConfigView(value), folder, faults).all(machine);
+        return new NodeConfigReader(new ConfigView(value), directory, faults).readAll(machine);
     }
 
-    private NodeConfig all(MachineLimits machine) {
+    private NodeConfig readAll(MachineLimits machine) {
         Limits limits = limits(root.section("limits"));
         machine.check(root.section("limits"), limits, faults);
         Map<String, Listener> listeners = listeners();
@@ -81,20 +85,20 @@
         root.named("pools").forEach((name, view) -> pools.put(name, pool(name, view, limits, listeners.values())));
         Map<String, Set<String>> used = new HashMap<>();
         List<Route> routes = routes(used, listeners);
-        List<Procedure> procedures = new ProcedureReader(root, faults).all(listeners, used);
+        List<Procedure> procedures = new ProcedureReader(root, faults).read(listeners, used);
         if (!root.has("routes") && !root.has("procedures")) {
             faults.add(root.place(), "", "nothing is routed", "`routes:` for HTTP, `procedures:` for MessagePack-RPC, or both");
         } else {
-            unused("listeners", used, "no route belongs to this listener: it answers nothing but errors");
-            unused("pools", used, "no route leads to this pool");
-            unused("classes", used, "no route gives its requests this class");
+            reportUnused("listeners", used, "no route uses this listener: it would answer only errors");
+            reportUnused("pools", used, "no route leads to this pool");
+            reportUnused("classes", used, "no route uses this class");
         }
         NodeConfig config = new NodeConfig(root.text("name", Schema.Kind.NAME, ""), root.text("tenant", Schema.Kind.NAME, null),
-            limits, admin(root, faults), handover(root, folder, faults),
-            new BgpReader(root, faults).all(pools.keySet()), listeners, classes, pools, routes, procedures);
+            limits, admin(root, faults), handover(root, directory, faults),
+            new BgpReader(root, faults).read(pools.keySet()), listeners, classes, pools, routes, procedures);
         pools.forEach((name, pool) -> {
             ConfigView at = root.named("pools").get(name);
-            ProtocolCheck.check(config, pool, at, known.get(name), faults);
+            ProtocolCheck.check(config, pool, at, knownServers.get(name), faults);
             if (config.buffersWholeBodies(name)) {
                 checkWholeBodiesFit(at, pool, limits, faults);
             }
@@ -106,35 +110,35 @@
         return new Limits(view.size("memory", DEFAULT_MEMORY), view.count("descriptors", DEFAULT_DESCRIPTORS));
     }
 
-    /** Where operators call, checked; null for no door. */
+    /** Reads and validates the admin address; null if there is none. */
     public static HostPort admin(ConfigView root, Faults faults) {
         HostPort admin = root.address("admin");
         if (admin != null && admin.any()) {
-            faults.add(root.place("admin"), root.path("admin"), "whoever reaches this machine could empty the node",
+            faults.add(root.place("admin"), root.path("admin"), "anyone who can reach this machine could drain the node",
                 "one address that operators reach, such as 127.0.0.1:" + admin.port());
         }
         return admin;
     }
 
-    /** The folder in which processes meet, checked; null for none. */
-    public static Path handover(ConfigView root, Path folder, Faults faults) {
+    /** Reads and validates the handover directory; null if there is none. */
+    public static Path handover(ConfigView root, Path directory, Faults faults) {
         String text = root.text("handover", Schema.Kind.TEXT, null);
         if (text == null) {
             return null;
         }
         Path path;
         try {
-            path = folder.resolve(text).normalize();
+            path = directory.resolve(text).normalize();
         } catch (InvalidPathException e) {
-            faults.add(root.place("handover"), root.path("handover"), "is no name of a folder", "the name of a folder");
+            faults.add(root.place("handover"), root.path("handover"), "is not a valid directory name", "the name of a directory");
             return null;
         }
         int length = path.toString().getBytes(java.nio.charset.StandardCharsets.UTF_8).length;
-        if (length > LONGEST_FOLDER) {
-            faults.add(root.place("handover"), root.path("handover"), "the folder's name has " + length
-                + " bytes, too many for a socket in it", "at most " + LONGEST_FOLDER + " bytes");
+        if (length > MAX_DIRECTORY_BYTES) {
+            faults.add(root.place("handover"), root.path("handover"), "the directory's name has " + length
+                + " bytes, too many for a socket in it", "at most " + MAX_DIRECTORY_BYTES + " bytes");
         } else if (!java.nio.file.Files.isDirectory(path)) {
-            faults.add(root.place("handover"), root.path("handover"), "there is no folder " + path, "one that exists");
+            faults.add(root.place("handover"), root.path("handover"), "there is no directory " + path, "one that exists");
         }
         return path;
     }
@@ -148,13 +152,13 @@
             }
             for (Listener other : listeners.values()) {
                 if (other.address().conflictsWith(address)) {
-                    faults.add(view.place("address"), view.path("address"), address + " is claimed by the listener `"
-                        + other.name() + "` too (" + other.address() + ")", "a port of its own for each listener");
+                    faults.add(view.place("address"), view.path("address"), address + " conflicts with the listener `"
+                        + other.name() + "` (" + other.address() + ")", "a port of its own for each listener");
                 }
             }
             HostPort admin = root.address("admin");
             if (admin != null && admin.conflictsWith(address)) {
-                faults.add(view.place("address"), view.path("address"), address + " is where operators call too (`admin`: "
+                faults.add(view.place("address"), view.path("address"), address + " conflicts with the admin address (`admin`: "
                     + admin + ")", "a port of its own for each");
             }
             listeners.put(name, new Listener(name, address, view.span("idle", DEFAULT_CLIENT_IDLE),
@@ -165,7 +169,7 @@
         return listeners;
     }
 
-    /** A class, checked; null where it has no effect or no deadline. */
+    /** Reads and validates a class; returns null if its effect or deadline is missing. */
     public static RequestClass requestClass(String name, ConfigView view, Faults faults) {
         String word = view.word("effect", null, "safe", "keyed", "unsafe");
         long deadline = view.span("deadline", -1);
@@ -180,16 +184,16 @@
         }
         long memory = view.span("memory", 0);
         if (effect == Effect.KEYED && memory == 0) {
-            faults.add(view.place("memory"), view.path("memory"), "a keyed class whose servers remember no key",
-                "how long they do, such as `memory: 5 s`, or `effect: unsafe`");
+            faults.add(view.place("memory"), view.path("memory"), "a keyed class needs the time for which servers remember a key",
+                "that time, such as `memory: 5 s`, or `effect: unsafe`");
         }
         if (effect != Effect.KEYED && memory > 0) {
-            faults.add(view.place("memory"), view.path("memory"), "a memory for keys in a class that is " + word,
+            faults.add(view.place("memory"), view.path("memory"), "only keyed classes have a memory, and this one is " + word,
                 "`effect: keyed`, or no memory");
         }
         boolean retry = view.flag("retry", effect != Effect.UNSAFE);
         if (retry && effect == Effect.UNSAFE) {
-            faults.add(view.place("retry"), view.path("retry"), "an unsafe class that is to be retried",
+            faults.add(view.place("retry"), view.path("retry"), "an unsafe class cannot be retried",
                 "`retry: false`, or `effect: safe` or `keyed` if a repeat does no harm");
         }
         return new RequestClass(name, effect, aim, deadline, view.number("worth", 1), view.number("late-worth", 0),
@@ -203,19 +207,19 @@
                 "one of `servers`, `file` and `discovery`");
         }
         List<Server> servers = ServerListReader.read(view, "servers", faults);
-        Path file = listFilePath(view, folder, faults);
+        Path file = listFilePath(view, directory, faults);
         List<Server> known = servers;
         if (file != null) {
             List<Server> listed = ServerListReader.named(view, file, faults);
             known = listed == null ? List.of() : listed;
         }
-        this.known.put(name, known);
+        this.knownServers.put(name, known);
         for (Server server : known) {
             for (Listener listener : listeners) {
                 if (server.addresses().stream().anyMatch(a -> a.reaches(listener.address()))) {
                     String key = file != null ? "file" : "servers";
                     faults.add(view.place(key), view.path(key), "the server " + server.displayAddresses()
-                        + " is this node's own listener `" + listener.name() + "`: requests would go round in a circle",
+                        + " is this node's own listener `" + listener.name() + "`: requests would loop",
                         "the address of the servers themselves");
                 }
             }
@@ -223,21 +227,21 @@
         return poolSettings(name, view, servers, file, view.address("discovery"), limits, faults);
     }
 
-    /** The list file that a section names, by its folder; null where it names none. */
-    public static Path listFilePath(ConfigView view, Path folder, Faults faults) {
+    /** Returns the list file of a section, resolved against {@code directory}; null if it has none. */
+    public static Path listFilePath(ConfigView view, Path directory, Faults faults) {
         String text = view.text("file", Schema.Kind.TEXT, null);
         if (text == null) {
             return null;
         }
         try {
-            return folder.resolve(text).normalize();
+            return directory.resolve(text).normalize();
         } catch (InvalidPathException e) {
-            faults.add(view.place("file"), view.path("file"), "is no name of a file", "the name of a list file");
+            faults.add(view.place("file"), view.path("file"), "is not a valid file name", "the name of a list file");
             return null;
         }
     }
 
-    /** A pool's settings but for where its servers come from, checked. */
+    /** Reads and validates a pool's settings, with the given source of its servers. */
     public static Pool poolSettings(String name, ConfigView view, List<Server> servers, Path file, HostPort discovery,
             Limits limits, Faults faults) {
         long keepAlive = view.span("keep-alive", DEFAULT_KEEP_ALIVE);
@@ -249,23 +253,23 @@
         }
         long body = view.size("body", DEFAULT_BODY);
         long held = Math.min(body, view.size("held", DEFAULT_HELD));
-        fits(view, "held", held, limits, faults);
+        checkFits(view, "held", held, limits, faults);
         return new Pool(name, servers, file, discovery, view.span("connect-timeout", DEFAULT_CONNECT_TIMEOUT), keepAlive, idle,
             view.count("attempts", 3), view.count("in-flight", 0), body, held, view.span("cold", 0),
             view.number("start-capacity", 1), rpc(view.section("rpc")));
     }
 
-    /** Adds a fault where bodies that are held under this key are too large for several to fit. */
-    private static void fits(ConfigView view, String key, long bytes, Limits limits, Faults faults) {
+    /** Adds a fault if several bodies of this size would not fit in memory. */
+    private static void checkFits(ConfigView view, String key, long bytes, Limits limits, Faults faults) {
         if (bytes > limits.memory() / 8) {
             faults.add(view.place(key), view.path(key), "bodies of " + Units.formatSize(bytes) + " held in a memory of "
                 + Units.formatSize(limits.memory()), "at most an eighth of `limits.memory`, so that several fit");
         }
     }
 
-    /** For a pool whose bodies are held whole, as they are MessagePack. */
+    /** Checks the body size of a pool whose bodies are buffered whole, as they are MessagePack. */
     public static void checkWholeBodiesFit(ConfigView view, Pool pool, Limits limits, Faults faults) {
-        fits(view, "body", pool.body(), limits, faults);
+        checkFits(view, "body", pool.body(), limits, faults);
     }
 
     private static Rpc rpc(ConfigView view) {
@@ -273,17 +277,17 @@
             view.flag("envelope", Rpc.DEFAULT.envelope()));
     }
 
-    private List<Route> routes(Map<String, Set<String>> used, Map<String, Listener> doors) {
+    private List<Route> routes(Map<String, Set<String>> used, Map<String, Listener> listeners) {
         List<Route> routes = new ArrayList<>();
         Map<Route, ConfigView> places = new HashMap<>();
         Map<String, Place> names = new HashMap<>();
         for (ConfigView view : root.items("routes")) {
             String name = view.text("name", Schema.Kind.NAME, null);
-            String listener = known(root, view, "listener", "listeners", used, faults);
-            String pool = known(root, view, "pool", "pools", used, faults);
-            String requestClass = known(root, view, "class", "classes", used, faults);
+            String listener = resolveName(root, view, "listener", "listeners", used, faults);
+            String pool = resolveName(root, view, "pool", "pools", used, faults);
+            String requestClass = resolveName(root, view, "class", "classes", used, faults);
             String path = view.text("path", Schema.Kind.PATH, null);
-            if (doors.containsKey(listener) && doors.get(listener).rpc()) {
+            if (listeners.containsKey(listener) && listeners.get(listener).rpc()) {
                 faults.add(view.place("listener"), view.path("listener"), "callers of `" + listener
                     + "` speak MessagePack-RPC, and this is a route for HTTP", "an HTTP listener, or an entry of `procedures`");
             }
@@ -316,34 +320,34 @@
     private String procedure(ConfigView view) {
         String procedure = view.text("procedure", Schema.Kind.PROCEDURE, null);
         if (procedure != null && procedure.endsWith("*")) {
-            faults.add(view.place("procedure"), view.path("procedure"), "a route stands for one procedure",
+            faults.add(view.place("procedure"), view.path("procedure"), "a route maps to a single procedure",
                 "its name in full, without `*`");
         }
         return procedure;
     }
 
-    /** Adds a fault for each two routes that conflict, at the place of the later one. */
+    /** Adds a fault for each pair of conflicting routes, at the place of the later one. */
     public static void checkConflicts(List<Route> routes, Map<Route, ConfigView> places, Faults faults) {
         for (Conflict conflict : RouteConflicts.find(routes)) {
             ConfigView at = places.get(conflict.route());
             ConfigView other = places.get(conflict.other());
-            String who = "route `" + conflict.other().name() + "` at line " + other.place().line() + " ("
+            String otherRoute = "route `" + conflict.other().name() + "` at line " + other.place().line() + " ("
                 + conflict.other().conditions() + ")";
             if (conflict.ambiguous()) {
-                faults.add(at.place(), at.path(), "ambiguous: nothing decides between this route and " + who,
+                faults.add(at.place(), at.path(), "ambiguous: nothing decides between this route and " + otherRoute,
                     "a path, method or header that tells the two apart");
             } else {
-                faults.add(at.place(), at.path(), "shadowed: all its requests go to " + who,
+                faults.add(at.place(), at.path(), "shadowed: all its requests go to " + otherRoute,
                     "remove it, or narrow the other");
             }
         }
     }
 
-    /** The name under a key, if it is one of those in that part of the whole; a fault, and null, where it is not. */
-    static String known(ConfigView root, ConfigView view, String key, String among, Map<String, Set<String>> used, Faults faults) {
+    /** Returns the name under a key if the section {@code among} defines it; otherwise adds a fault and returns null. */
+    static String resolveName(ConfigView root, ConfigView view, String key, String among, Map<String, Set<String>> used, Faults faults) {
         String name = view.text(key, Schema.Kind.NAME, null);
         if (root.named(among).isEmpty()) {
-            // Told where they should stand, and not once more for each route.
+            // The missing section is reported once, not again for each route.
             return null;
         }
         if (name != null && !root.named(among).containsKey(name)) {
@@ -357,7 +361,7 @@
         return name;
     }
 
-    private void unused(String key, Map<String, Set<String>> used, String wrong) {
+    private void reportUnused(String key, Map<String, Set<String>> used, String wrong) {
         root.named(key).keySet().forEach(name -> {
             if (!used.getOrDefault(key, Set.of()).contains(name)) {
                 faults.add(root.namePlace(key, name), SchemaValidator.join(key, name), wrong, "remove it, or add a route");
--- a/src/main/java/onyxpaddle/config/Place.java
+++ b/src/main/java/onyxpaddle/config/Place.java
@@ -1,6 +1,6 @@
 package onyxpaddle.config;
 
-/** Where something stands in a file; lines and columns count from 1, and 0 is "the file as a whole". */
+/** A position in a file. Lines and columns count from 1; line 0 denotes the file as a whole. */
 public record Place(String file, int line, int column) implements Comparable<Place> {
     public static Place of(String file) {
         return new Place(file, 0, 0);
--- a/src/main/java/onyxpaddle/config/ProcedureReader.java
+++ b/src/main/java/onyxpaddle/config/ProcedureReader.java
@@ -9,7 +9,7 @@
 import onyxpaddle.route.Procedure;
 import onyxpaddle.route.ProcedureTable;
 
-/** Reads the procedures of a node's configuration, and finds what is wrong with them. */
+/** Reads and validates the procedures of a node's configuration. */
 final class ProcedureReader {
     private final ConfigView root;
     private final Faults faults;
@@ -19,15 +19,15 @@
         this.faults = faults;
     }
 
-    List<Procedure> all(Map<String, Listener> listeners, Map<String, Set<String>> used) {
+    List<Procedure> read(Map<String, Listener> listeners, Map<String, Set<String>> used) {
         List<Procedure> procedures = new ArrayList<>();
         Map<Procedure, ConfigView> places = new HashMap<>();
         Map<String, Place> names = new HashMap<>();
         for (ConfigView view : root.items("procedures")) {
             String name = view.text("name", Schema.Kind.NAME, null);
-            String listener = NodeConfigReader.known(root, view, "listener", "listeners", used, faults);
-            String pool = NodeConfigReader.known(root, view, "pool", "pools", used, faults);
-            String requestClass = NodeConfigReader.known(root, view, "class", "classes", used, faults);
+            String listener = NodeConfigReader.resolveName(root, view, "listener", "listeners", used, faults);
+            String pool = NodeConfigReader.resolveName(root, view, "pool", "pools", used, faults);
+            String requestClass = NodeConfigReader.resolveName(root, view, "class", "classes", used, faults);
             String pattern = view.text("procedure", Schema.Kind.PROCEDURE, null);
             if (listeners.containsKey(listener) && !listeners.get(listener).rpc()) {
                 faults.add(view.place("listener"), view.path("listener"), "callers of `" + listener
@@ -47,7 +47,7 @@
             }
         }
         ProcedureTable.duplicates(procedures).forEach((later, first) -> faults.add(places.get(later).place("procedure"),
-            places.get(later).path("procedure"), "`" + later.pattern() + "` stands twice, first at line "
+            places.get(later).path("procedure"), "`" + later.pattern() + "` is already routed at line "
                 + places.get(first).place().line(), "each procedure once on a listener"));
         return procedures;
     }
--- a/src/main/java/onyxpaddle/config/ProtocolCheck.java
+++ b/src/main/java/onyxpaddle/config/ProtocolCheck.java
@@ -6,12 +6,12 @@
 import onyxpaddle.route.Procedure;
 import onyxpaddle.route.Route;
 
-/** Finds servers that a pool's callers could not reach, as neither speaks the other's protocol and nothing maps it. */
+/** Finds servers that lack the protocol of a route or procedure to their pool, where no mapping to the other protocol is configured. */
 final class ProtocolCheck {
     private ProtocolCheck() {
     }
 
-    /** {@code known}: the pool's servers, as far as its files tell. */
+    /** {@code known}: the pool's servers as far as they are configured, in the file itself or in a list file. */
     static void check(NodeConfig config, Pool pool, ConfigView at, List<Server> known, Faults faults) {
         Route http = config.routes().stream().filter(r -> r.pool().equals(pool.name()) && r.procedure() == null).findFirst()
             .orElse(null);
@@ -30,7 +30,7 @@
             }
         }
         if (rpc != null && pool.discovery() != null) {
-            faults.add(at.place("discovery"), at.path("discovery"), "discovery tells HTTP addresses only, and the procedure `"
+            faults.add(at.place("discovery"), at.path("discovery"), "discovery lists only HTTP addresses, and the procedure `"
                 + rpc.name() + "` has no path", "a `path` for that procedure, or `servers` or `file`");
         }
     }
--- a/src/main/java/onyxpaddle/config/SchemaValidator.java
+++ b/src/main/java/onyxpaddle/config/SchemaValidator.java
@@ -14,19 +14,19 @@
 import onyxpaddle.config.Value.Scalar;
 import onyxpaddle.config.Value.Sequence;
 
-/** Holds a tree against a shape. All that does not fit is a fault; what fits is usable whatever else is wrong. */
+/** Validates a tree against a schema. Each violation is a fault; valid values stay usable beside invalid ones. */
 public final class SchemaValidator {
     private static final Pattern NAME = Pattern.compile("[a-z0-9](?:[a-z0-9-]{0,61}[a-z0-9])?");
     private static final Pattern PATH = Pattern.compile("/[!-~&&[^?#%]]{0,255}");
     private static final Pattern TOKEN = Pattern.compile("[!#$%&'*+.^_`|~0-9A-Za-z-]{1,64}");
     private static final Pattern HOST = Pattern.compile("[A-Za-z0-9](?:[A-Za-z0-9.-]{0,251}[A-Za-z0-9])?");
     private static final Pattern PROCEDURE = Pattern.compile("[!-~&&[^*]]{1,200}|[!-~&&[^*]]{0,199}\\*");
-    private static final Pattern WHOLE = Pattern.compile("-?[0-9]{1,12}");
+    private static final Pattern INTEGER = Pattern.compile("-?[0-9]{1,12}");
     private static final Pattern NUMBER = Pattern.compile("-?[0-9]{1,12}(\\.[0-9]{1,9})?");
     private static final Set<String> METHODS = Set.of("GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS");
-    /** A value that takes longer to say than this is no setting. */
-    private static final int LONGEST_TEXT = 1000;
-    private static final int MOST_ITEMS = 10_000;
+    /** Far above the length of any real setting. */
+    private static final int MAX_TEXT = 1000;
+    private static final int MAX_ITEMS = 10_000;
 
     private final Faults faults;
 
@@ -34,21 +34,21 @@
         this.faults = faults;
     }
 
-    public static void check(Value value, Schema shape, Faults faults) {
-        new SchemaValidator(faults).any(value, shape);
+    public static void check(Value value, Schema schema, Faults faults) {
+        new SchemaValidator(faults).validate(value, schema);
     }
 
-    private void any(Value value, Schema shape) {
-        if (shape instanceof ScalarSchema plain) {
+    private void validate(Value value, Schema schema) {
+        if (schema instanceof ScalarSchema plain) {
             plain(value, plain);
-        } else if (shape instanceof ListOf list) {
+        } else if (schema instanceof ListOf list) {
             list(value, list);
-        } else if (shape instanceof MapOf map) {
+        } else if (schema instanceof MapOf map) {
             map(value, map);
-        } else if (shape instanceof Section section) {
+        } else if (schema instanceof Section section) {
             section(value, section);
-        } else if (shape instanceof ScalarOrSection either) {
-            any(value, value instanceof Mapping ? either.section() : either.scalar());
+        } else if (schema instanceof ScalarOrSection either) {
+            validate(value, value instanceof Mapping ? either.section() : either.scalar());
         }
     }
 
@@ -58,26 +58,26 @@
 
     private void list(Value value, ListOf list) {
         if (!(value instanceof Sequence sequence)) {
-            fault(value, "is " + value.kind() + " where a list belongs", "`[one, another]`, or a line `- one` for each");
+            fault(value, "is " + value.kind() + " where a list is expected", "`[one, another]`, or a line `- one` for each");
             return;
         }
         if (sequence.items().isEmpty() && !list.mayBeEmpty()) {
             fault(value, "the list is empty", "name at least one");
         }
-        if (sequence.items().size() > MOST_ITEMS) {
-            fault(value, "holds " + sequence.items().size() + " items", "at most " + MOST_ITEMS);
+        if (sequence.items().size() > MAX_ITEMS) {
+            fault(value, "holds " + sequence.items().size() + " items", "at most " + MAX_ITEMS);
             return;
         }
-        sequence.items().forEach(item -> any(item, list.item()));
+        sequence.items().forEach(item -> validate(item, list.item()));
     }
 
     private void map(Value value, MapOf map) {
         if (!(value instanceof Mapping mapping)) {
-            fault(value, "is " + value.kind() + " where sections under names belong", "`name:` with its keys below");
+            fault(value, "is " + value.kind() + " where named sections are expected", "`name:` with its keys below");
             return;
         }
         if (mapping.keys().isEmpty() && !map.mayBeEmpty()) {
-            fault(value, "names nothing", "name at least one");
+            fault(value, "is empty", "name at least one");
         }
         mapping.keys().forEach((name, place) -> {
             String wrong = wrong(name, Schema.plain(map.name()));
@@ -85,7 +85,7 @@
                 faults.add(place, join(value.path(), name), "the name " + wrong, map.name().description);
             }
             if (mapping.values().get(name) != null) {
-                any(mapping.values().get(name), map.item());
+                validate(mapping.values().get(name), map.item());
             }
         });
     }
@@ -95,7 +95,7 @@
             value = new Mapping(value.place(), value.path(), java.util.Map.of(), java.util.Map.of());
         }
         if (!(value instanceof Mapping mapping)) {
-            fault(value, "is " + value.kind() + " where a section belongs", "keys: " + names(section));
+            fault(value, "is " + value.kind() + " where a section is expected", "keys: " + names(section));
             return;
         }
         mapping.keys().forEach((name, place) -> {
@@ -106,10 +106,10 @@
                     near == null ? "keys here: " + names(section) : "did you mean `" + near + "`?");
             } else if (mapping.values().get(name) instanceof Scalar scalar && scalar.blank()
                     && !(key.schema() instanceof Section)) {
-                faults.add(place, join(mapping.path(), name), "says nothing",
+                faults.add(place, join(mapping.path(), name), "has no value",
                     key.required() ? describe(key.schema()) : describe(key.schema()) + ", or leave the key out");
             } else if (mapping.values().get(name) != null) {
-                any(mapping.values().get(name), key.schema());
+                validate(mapping.values().get(name), key.schema());
             }
         });
         for (Key key : section.keys()) {
@@ -127,8 +127,6 @@
         return path.isEmpty() ? name : path + "." + name;
     }
 
-    // ---- plain values ----
-
     private void plain(Value value, ScalarSchema plain) {
         if (!(value instanceof Scalar scalar)) {
             fault(value, "is " + value.kind(), describe(plain));
@@ -140,44 +138,45 @@
         }
     }
 
-    /** What is wrong with a text as a value of this kind; null where it is sound. */
+    /** Returns what is wrong with a text as a value of this kind, or null if it is valid. */
     static String wrong(String text, ScalarSchema plain) {
         String shown = new Scalar(null, "", text, true).kind();
-        if (text.length() > LONGEST_TEXT) {
+        if (text.length() > MAX_TEXT) {
             return "is " + text.length() + " characters long";
         }
         return switch (plain.kind()) {
             case TEXT -> text.isEmpty() || text.chars().anyMatch(c -> c < ' ') ? "is empty or holds control characters" : null;
-            case NAME -> NAME.matcher(text).matches() ? null : "is no name: " + shown;
-            case LABEL -> NAME.matcher(text).matches() && text.length() <= 30 && !text.contains("--") ? null : "is no name: " + shown;
-            case WORD -> plain.words().contains(text) ? null : "unknown word " + shown;
-            case PORT -> bounded(text, WHOLE, 1, 65535, shown, "port");
-            case COUNT -> bounded(text, WHOLE, plain.min(), plain.max(), shown, "whole number");
+            case NAME -> NAME.matcher(text).matches() ? null : "is not a valid name: " + shown;
+            case LABEL -> NAME.matcher(text).matches() && text.length() <= 30 && !text.contains("--") ? null
+                : "is not a valid name: " + shown;
+            case WORD -> plain.words().contains(text) ? null : "unknown value " + shown;
+            case PORT -> bounded(text, INTEGER, 1, 65535, shown, "port");
+            case COUNT -> bounded(text, INTEGER, plain.min(), plain.max(), shown, "whole number");
             case NUMBER -> bounded(text, NUMBER, plain.min(), plain.max(), shown, "number");
-            case ADDRESS -> HostPort.parse(text) == null ? "is no address: " + shown : null;
-            case IP -> Ip.parse(text) == null ? "is no IP address: " + shown : null;
-            case PREFIX -> Ip.prefix(text) == null ? "is no prefix, or has bits behind its length: " + shown : null;
-            case COMMUNITY -> Ip.community(text) == null ? "is no community: " + shown : null;
+            case ADDRESS -> HostPort.parse(text) == null ? "is not a valid address: " + shown : null;
+            case IP -> Ip.parse(text) == null ? "is not a valid IP address: " + shown : null;
+            case PREFIX -> Ip.prefix(text) == null ? "is not a valid prefix, or has host bits set: " + shown : null;
+            case COMMUNITY -> Ip.community(text) == null ? "is not a valid community: " + shown : null;
             case SPAN -> amount(Units.parseSpan(text), plain, shown, "time");
             case SIZE -> amount(Units.parseSize(text), plain, shown, "size");
             case FLAG -> text.equals("true") || text.equals("false") ? null : "is neither true nor false: " + shown;
-            case PATH -> PATH.matcher(text).matches() && !dotted(text) ? null : "is no path: " + shown;
-            case METHOD -> METHODS.contains(text) ? null : "is no method: " + shown;
-            case HEADER -> TOKEN.matcher(text).matches() ? null : "is no header name: " + shown;
-            case PROCEDURE -> PROCEDURE.matcher(text).matches() ? null : "is no procedure: " + shown;
+            case PATH -> PATH.matcher(text).matches() && !hasEmptyOrDotSegment(text) ? null : "is not a valid path: " + shown;
+            case METHOD -> METHODS.contains(text) ? null : "is not a valid method: " + shown;
+            case HEADER -> TOKEN.matcher(text).matches() ? null : "is not a valid header name: " + shown;
+            case PROCEDURE -> PROCEDURE.matcher(text).matches() ? null : "is not a valid procedure: " + shown;
             case HOST -> HOST.matcher(text.startsWith("*.") ? text.substring(2) : text).matches() ? null
-                : "is no host name: " + shown;
+                : "is not a valid host name: " + shown;
         };
     }
 
-    private static boolean dotted(String path) {
+    private static boolean hasEmptyOrDotSegment(String path) {
         return path.contains("//") || path.contains("/./") || path.contains("/../") || path.endsWith("/.")
             || path.endsWith("/..");
     }
 
-    private static String bounded(String text, Pattern form, double least, double most, String shown, String what) {
-        if (!form.matcher(text).matches()) {
-            return "is no " + what + ": " + shown;
+    private static String bounded(String text, Pattern pattern, double least, double most, String shown, String what) {
+        if (!pattern.matcher(text).matches()) {
+            return "is not a valid " + what + ": " + shown;
         }
         double number = Double.parseDouble(text);
         return number < least ? "is too small: " + shown : number > most ? "is too large: " + shown : null;
@@ -185,16 +184,16 @@
 
     private static String amount(long amount, ScalarSchema plain, String shown, String what) {
         if (amount < 0) {
-            return "is no " + what + " with a unit: " + shown;
+            return "is not a valid " + what + " with a unit: " + shown;
         }
         return amount < plain.min() ? "is too small: " + shown : amount > plain.max() ? "is too large: " + shown : null;
     }
 
     private static String hint(String text, ScalarSchema plain) {
-        if (WHOLE.matcher(text).matches() && plain.kind() == Schema.Kind.SPAN) {
+        if (INTEGER.matcher(text).matches() && plain.kind() == Schema.Kind.SPAN) {
             return "a unit: `" + text + " ms` or `" + text + " s`? " + describe(plain);
         }
-        if (WHOLE.matcher(text).matches() && plain.kind() == Schema.Kind.SIZE) {
+        if (INTEGER.matcher(text).matches() && plain.kind() == Schema.Kind.SIZE) {
             return "a unit: `" + text + " KiB` or `" + text + " B`? " + describe(plain);
         }
         if (plain.kind() == Schema.Kind.METHOD && METHODS.contains(text.toUpperCase(Locale.ROOT))) {
@@ -207,16 +206,16 @@
         return describe(plain);
     }
 
-    static String describe(Schema shape) {
-        if (shape instanceof ScalarSchema plain) {
+    static String describe(Schema schema) {
+        if (schema instanceof ScalarSchema plain) {
             if (plain.kind() == Schema.Kind.WORD) {
                 return "one of " + String.join(", ", plain.words());
             }
             return plain.kind().description + bounds(plain);
         }
-        return shape instanceof ListOf list ? "a list; each: " + describe(list.item())
-            : shape instanceof ScalarOrSection either ? describe(either.scalar()) + ", or its section"
-            : shape instanceof MapOf ? "sections under names" : "a section";
+        return schema instanceof ListOf list ? "a list; each: " + describe(list.item())
+            : schema instanceof ScalarOrSection either ? describe(either.scalar()) + ", or its section"
+            : schema instanceof MapOf ? "named sections" : "a section";
     }
 
     private static String bounds(ScalarSchema plain) {
@@ -235,8 +234,6 @@
         };
     }
 
-    // ---- the nearest word ----
-
     private static String nearest(String name, Section section) {
         return SpellingSuggestions.nearest(name, section.keys().stream().map(Key::name).toList());
     }
--- a/src/main/java/onyxpaddle/config/SourceFile.java
+++ b/src/main/java/onyxpaddle/config/SourceFile.java
@@ -12,27 +12,27 @@
 import java.nio.file.NoSuchFileException;
 import java.nio.file.Path;
 
-/** Reads a file of ours: at most 1 MiB of UTF-8. Whatever keeps it from being read is a fault, never an exception. */
+/** Reads a text file of at most 1 MiB of UTF-8. Read errors are reported as faults, never as exceptions. */
 public final class SourceFile {
-    /** Descriptions and configurations have some KB. */
+    /** Far above the usual size of descriptions and configurations, which is some KB. */
     public static final int MAX_BYTES = 1 << 20;
 
     private SourceFile() {
     }
 
-    /** The tree of a file, or null with the reason among the faults. */
+    /** Parses a file; returns null and adds a fault if it cannot be read or parsed. */
     public static Value read(Path file, Faults faults) {
         String name = file.toString();
         String text = text(file, faults);
         return text == null ? null : YamlTree.parse(name, text, faults);
     }
 
-    /** The tree of a text that was read elsewhere; {@code name} is what its places call it. */
+    /** Parses a text that was read elsewhere; {@code name} is the file name in its places. */
     public static Value parse(String name, String text, Faults faults) {
         return YamlTree.parse(name, text, faults);
     }
 
-    /** The text of a file, or null with the reason among the faults. */
+    /** Reads the text of a file; returns null and adds a fault if it cannot be read. */
     public static String text(Path file, Faults faults) {
         Place place = Place.of(file.toString());
         byte[] bytes;
@@ -42,8 +42,8 @@
                 return null;
             }
             if (Files.exists(file) && !Files.isRegularFile(file)) {
-                // A pipe or a device would keep the reader waiting for ever.
-                faults.add(place, "", "is no ordinary file", "name a file with text in it");
+                // Reading a pipe or a device could block forever.
+                faults.add(place, "", "is not a regular file", "name a text file");
                 return null;
             }
             try (InputStream in = Files.newInputStream(file)) {
@@ -53,16 +53,16 @@
             faults.add(place, "", "there is no such file", "check the name");
             return null;
         } catch (AccessDeniedException e) {
-            faults.add(place, "", "may not be read", "give the reader's user the right to read it");
+            faults.add(place, "", "permission denied", "give this user the right to read it");
             return null;
         } catch (FileSystemException e) {
             String reason = e.getReason() == null ? e.getClass().getSimpleName() : e.getReason();
             boolean loop = reason.contains("symbolic links");
-            faults.add(place, "", loop ? "its symbolic links lead in a circle" : "cannot be read: " + reason,
-                loop ? "let the link name a file" : "check the file and its folder");
+            faults.add(place, "", loop ? "its symbolic links form a loop" : "cannot be read: " + reason,
+                loop ? "point the link at a file" : "check the file and its directory");
             return null;
         } catch (IOException e) {
-            faults.add(place, "", "cannot be read: " + e.getMessage(), "check the file and its folder");
+            faults.add(place, "", "cannot be read: " + e.getMessage(), "check the file and its directory");
             return null;
         }
         if (bytes.length > MAX_BYTES) {
--- a/src/main/java/onyxpaddle/config/SpellingSuggestions.java
+++ b/src/main/java/onyxpaddle/config/SpellingSuggestions.java
@@ -4,17 +4,17 @@
 import java.util.List;
 import java.util.Locale;
 
-/** Finds the word that somebody meant. */
+/** Suggests the intended word for a misspelt one. */
 public final class SpellingSuggestions {
     private SpellingSuggestions() {
     }
 
-    /** The word that is the fewest slips away, if it is near enough to have been meant; null otherwise. */
+    /** Returns the word with the smallest edit distance, or null if none is near enough. */
     public static String nearest(String text, List<String> words) {
         String best = null;
         int least = Math.max(1, Math.min(3, text.length() / 2)) + 1;
         for (String word : new ArrayList<>(words)) {
-            int distance = text.length() > 60 ? 99 : slips(text.toLowerCase(Locale.ROOT).replace('_', '-'), word);
+            int distance = text.length() > 60 ? 99 : distance(text.toLowerCase(Locale.ROOT).replace('_', '-'), word);
             if (distance < least) {
                 least = distance;
                 best = word;
@@ -23,8 +23,8 @@
         return best;
     }
 
-    /** Letters that are missing, too many, wrong or swapped (optimal string alignment distance). */
-    private static int slips(String a, String b) {
+    /** Optimal string alignment distance: insertions, deletions, substitutions and transpositions. */
+    private static int distance(String a, String b) {
         int[][] d = new int[a.length() + 1][b.length() + 1];
         for (int i = 0; i <= a.length(); i++) {
             for (int j = 0; j <= b.length(); j++) {
--- a/src/main/java/onyxpaddle/config/Units.java
+++ b/src/main/java/onyxpaddle/config/Units.java
@@ -3,19 +3,19 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** Times and sizes as they stand in files: a number and its unit, such as {@code 300 ms} or {@code 1 MiB}. */
+/** Parses and formats times and sizes: a number and its unit, such as {@code 300 ms} or {@code 1 MiB}. */
 public final class Units {
     private static final Pattern AMOUNT = Pattern.compile("([0-9]{1,9}(?:\\.[0-9]{1,6})?) ?([A-Za-z]+)");
 
     private Units() {
     }
 
-    /** A span in nanoseconds, or -1 where the text is none; units: us, ms, s, min, h. */
+    /** Returns a span in nanoseconds, or -1 if the text is not one; units: us, ms, s, min, h. */
     public static long parseSpan(String text) {
         return amount(text, true);
     }
 
-    /** A size in bytes, or -1 where the text is none; units: B, KiB, MiB, GiB. */
+    /** Returns a size in bytes, or -1 if the text is not one; units: B, KiB, MiB, GiB. */
     public static long parseSize(String text) {
         return amount(text, false);
     }
@@ -50,7 +50,7 @@
         };
     }
 
-    /** A span in the largest unit that gives a whole number. */
+    /** Formats a span in the largest unit that gives a whole number. */
     public static String formatSpan(long nanos) {
         String[] names = {"h", "min", "s", "ms", "us"};
         for (String name : names) {
@@ -62,7 +62,7 @@
         return nanos == 0 ? "0 ms" : Math.max(1, nanos / 1000) + " us";
     }
 
-    /** A size in the largest unit that gives a whole number. */
+    /** Formats a size in the largest unit that gives a whole number. */
     public static String formatSize(long bytes) {
         String[] names = {"GiB", "MiB", "KiB"};
         for (String name : names) {
--- a/src/main/java/onyxpaddle/config/Value.java
+++ b/src/main/java/onyxpaddle/config/Value.java
@@ -3,15 +3,15 @@
 import java.util.List;
 import java.util.Map;
 
-/** A value of a file, with its place and the path that leads to it. */
+/** A parsed value with its place in the file and the path of keys to it. */
 public sealed interface Value {
     Place place();
 
     String path();
 
-    /** Text as it stands in the file; {@code quoted} text is never a number, a span or a word of the format. */
+    /** The text of a scalar; quoted text is never taken as {@linkplain #blank() blank}. */
     record Scalar(Place place, String path, String text, boolean quoted) implements Value {
-        /** Whether it is there but says nothing, such as {@code limits:} with nothing below. */
+        /** Whether the key has no value, such as {@code limits:} with nothing below. */
         public boolean blank() {
             return !quoted && (text.isEmpty() || text.equals("~") || text.equals("null"));
         }
@@ -23,20 +23,20 @@
         }
     }
 
-    /** {@code keys}: where each key stands; both maps are in the order of the file. */
+    /** {@code keys}: the place of each key; both maps are in file order. */
     record Mapping(Place place, String path, Map<String, Value> values, Map<String, Place> keys) implements Value {
     }
 
-    /** What a person would call this kind of value. */
+    /** Describes the value for messages. */
     default String kind() {
         if (this instanceof Scalar s) {
-            return s.blank() ? "nothing" : "`" + shortened(s.text()) + "`";
+            return s.blank() ? "nothing" : "`" + abbreviate(s.text()) + "`";
         }
         return this instanceof Sequence ? "a list" : "a section";
     }
 
-    private static String shortened(String text) {
-        String clean = text.replaceAll("\\p{Cntrl}", "?");
-        return clean.length() > 40 ? clean.substring(0, 40) + "…" : clean;
+    private static String abbreviate(String text) {
+        String printable = text.replaceAll("\\p{Cntrl}", "?");
+        return printable.length() > 40 ? printable.substring(0, 40) + "…" : printable;
     }
 }
--- a/src/main/java/onyxpaddle/config/YamlTree.java
+++ b/src/main/java/onyxpaddle/config/YamlTree.java
@@ -24,12 +24,12 @@
 import org.snakeyaml.engine.v2.nodes.SequenceNode;
 
 /**
- * YAML 1.2 (and so JSON) as a tree of values with their places. Of YAML it takes what a person needs for settings:
- * one document, maps with plain keys, lists and scalars. Anchors, aliases and tags are faults: they make one place
- * speak for another, and a small file stand for a huge one.
+ * Parses YAML 1.2, and so JSON, into a tree of values with their places. Accepts the subset that settings need: one
+ * document with mappings with scalar keys, sequences and scalars. Anchors and aliases are faults: with them, the value at one place comes
+ * from another, and a small file can expand to a huge one.
  */
 final class YamlTree {
-    private static final int DEEPEST = 20;
+    private static final int MAX_DEPTH = 20;
 
     private final String file;
     private final Faults faults;
@@ -40,7 +40,7 @@
         this.faults = faults;
     }
 
-    /** The tree of a text, or null where its syntax is at fault. */
+    /** Returns the tree of a text, or null if there is a syntax error. */
     static Value parse(String file, String text, Faults faults) {
         LoadSettings settings = LoadSettings.builder().setLabel(file).setUseMarks(true)
             .setMaxAliasesForCollections(0).setCodePointLimit(Integer.MAX_VALUE).build();
@@ -48,7 +48,7 @@
         try {
             Optional<Node> root = new Compose(settings).composeString(text);
             if (root.isEmpty()) {
-                faults.add(Place.of(file), "", "the file says nothing", "see `lupinmount sidecar schema` for its keys");
+                faults.add(Place.of(file), "", "the file is empty", "see `lupinmount sidecar schema` for its keys");
                 return null;
             }
             return tree.value(root.get(), "", 0);
@@ -79,11 +79,11 @@
     private Value value(Node node, String path, int depth) {
         Place place = place(node);
         if (!seen.add(node) || node.getAnchor().isPresent()) {
-            faults.add(place, path, "anchors and aliases are not taken", "write the value out at each place");
+            faults.add(place, path, "anchors and aliases are not supported", "write the value out at each place");
             return null;
         }
-        if (depth > DEEPEST) {
-            faults.add(place, path, "nested more than " + DEEPEST + " deep", "no setting lies so deep");
+        if (depth > MAX_DEPTH) {
+            faults.add(place, path, "nested more than " + MAX_DEPTH + " deep", "no setting is nested that deep");
             return null;
         }
         if (node instanceof ScalarNode scalar) {
@@ -108,14 +108,14 @@
         for (NodeTuple tuple : mapping.getValue()) {
             Place at = place(tuple.getKeyNode());
             if (!(tuple.getKeyNode() instanceof ScalarNode key)) {
-                faults.add(at, path, "a key that is not plain text", "`key: value`");
+                faults.add(at, path, "a key that is not a scalar", "`key: value`");
                 continue;
             }
             String name = key.getValue();
             String below = path.isEmpty() ? name : path + "." + name;
             Place first = keys.putIfAbsent(name, at);
             if (first != null) {
-                faults.add(at, below, "stands twice, first at line " + first.line(), "keep one of the two");
+                faults.add(at, below, "is already defined at line " + first.line(), "keep one of the two");
                 continue;
             }
             Value value = value(tuple.getValueNode(), below, depth + 1);
--- a/src/test/java/onyxpaddle/command/ControlCommandTest.java
+++ b/src/test/java/onyxpaddle/command/ControlCommandTest.java
@@ -19,10 +19,10 @@
 import org.junit.jupiter.api.io.TempDir;
 
 class ControlCommandTest {
-    private static final Duration END = Duration.ofSeconds(30);
+    private static final Duration TIMEOUT = Duration.ofSeconds(30);
 
     @TempDir
-    private Path folder;
+    private Path directory;
     private ControlProcess publisher;
     private String at;
     private String out;
@@ -30,13 +30,13 @@
 
     @BeforeEach
     void start() throws Exception {
-        publisher = ControlProcess.start(new ControlSettings(new HostPort("127.0.0.1", 0), "p", folder.resolve("p"), 1, List.of(),
+        publisher = ControlProcess.start(new ControlSettings(new HostPort("127.0.0.1", 0), "p", directory.resolve("p"), 1, List.of(),
             List.of(), ControlSettings.DEFAULT_FULL_UPDATE_RATE));
         at = "127.0.0.1:" + publisher.address().getPort();
     }
 
     @AfterEach
-    void end() {
+    void stop() {
         publisher.close();
     }
 
@@ -50,16 +50,16 @@
     }
 
     private String file(String name, String text) throws Exception {
-        return Files.writeString(folder.resolve(name), text).toString();
+        return Files.writeString(directory.resolve(name), text).toString();
     }
 
-    private void node(String name, String reports) throws Exception {
+    private void reportAsNode(String name, String report) throws Exception {
         new ControlClient().get(HostPort.parse(at), "/v1/configuration?node=" + name + "&service=booking&epoch=1&after=1"
-            + reports, END, 1 << 20);
+            + report, TIMEOUT, 1 << 20);
     }
 
     @Test
-    void filesArePublishedAsOneVersionAndRemoved() throws Exception {
+    void filesArePublishedAndRemovedAsOneVersion() throws Exception {
         String one = file("one.yaml", "effect: safe\ndeadline: 1 s\n");
         assertEquals(0, run("control", "publish", "--publisher", at, "--acks", "0", "service/booking/classes.a=" + one,
             "fleet/classes.b=" + one), err);
@@ -77,18 +77,18 @@
         String bad = file("bad.yaml", "effect: safe\ndeadline: long\n");
         assertEquals(78, run("control", "publish", "--publisher", at, "service/booking/classes.a=" + bad));
         assertTrue(err.startsWith(bad + ":2:11: deadline: "), err);
-        assertEquals(78, run("control", "publish", "--publisher", at, "service/booking/classes.a=" + folder.resolve("missing.yaml")));
+        assertEquals(78, run("control", "publish", "--publisher", at, "service/booking/classes.a=" + directory.resolve("missing.yaml")));
         assertTrue(err.contains("there is no such file"), err);
     }
 
     @Test
-    void wrongUsageIsSaid() {
+    void wrongUsageIsReported() {
         assertEquals(64, run("control"));
         assertEquals(64, run("control", "publish", "--publisher", at));
         assertEquals(64, run("control", "publish", "--publisher", at, "routes=x"));
         assertEquals(64, run("control", "publish", "--publisher", at, "fleet/routes"));
         assertEquals(64, run("control", "publish", "--publisher", at, "--remove", "fleet/routes", "--remove", "fleet/routes"));
-        String state = folder.resolve("s").toString();
+        String state = directory.resolve("s").toString();
         assertEquals(64, run("control", "serve", "--listen", "127.0.0.1:0", "--id", "r", "--state", state));
         assertEquals(64, run("control", "serve", "--listen", "127.0.0.1:0", "--id", "r", "--state", state, "--publisher"));
         assertEquals(64, run("control", "serve", "--listen", "127.0.0.1:0", "--id", "r", "--state", state, "--epoch", "2", "--follow", at));
@@ -97,11 +97,11 @@
     }
 
     @Test
-    void whatCannotRunIsSaid() {
-        String state = folder.resolve("s").toString();
+    void failuresAreReported() {
+        String state = directory.resolve("s").toString();
         assertEquals(1, run("control", "serve", "--listen", at, "--id", "q", "--state", state, "--publisher", "--epoch", "1"));
         assertTrue(err.contains("cannot listen at " + at), err);
-        assertEquals(78, run("control", "serve", "--listen", "127.0.0.1:0", "--id", "p", "--state", folder.resolve("p").toString(),
+        assertEquals(78, run("control", "serve", "--listen", "127.0.0.1:0", "--id", "p", "--state", directory.resolve("p").toString(),
             "--publisher", "--epoch", "1"));
         assertTrue(err.contains("another control process"), err);
         publisher.close();
@@ -110,17 +110,17 @@
     }
 
     @Test
-    void statusSaysWhoHasAVersionInForceAndWhoRefusedIt() throws Exception {
+    void statusShowsNodesWithTheVersionInForceAndNodesThatRefusedIt() throws Exception {
         String one = file("one.yaml", "effect: safe\ndeadline: 1 s\n");
         run("control", "publish", "--publisher", at, "--acks", "0", "fleet/classes.b=" + one);
         assertEquals(1, run("control", "status", "--control", at, "--version", "1.1"), "no node yet");
-        node("n1", "&in_force=1.1");
+        reportAsNode("n1", "&in_force=1.1");
         assertEquals(0, run("control", "status", "--control", at + ",127.0.0.1:1", "--version", "1.1", "--within", "8s"), err);
         assertTrue(err.contains("127.0.0.1:1 does not answer"), err);
         assertTrue(out.contains("1 of 1 nodes have 1.1 in force"), out);
-        node("n2", "&in_force=1.0");
+        reportAsNode("n2", "&in_force=1.0");
         assertEquals(1, run("control", "status", "--control", at, "--version", "1.1"));
-        node("n2", "&in_force=1.0&refused=1.1&fault=fleet/classes.b:1:1:+wrong");
+        reportAsNode("n2", "&in_force=1.0&refused=1.1&fault=fleet/classes.b:1:1:+wrong");
         assertEquals(78, run("control", "status", "--control", at, "--version", "1.1", "--within", "1 ms"));
         assertTrue(out.contains("refused 1.1: fleet/classes.b:1:1: wrong"), out);
         assertTrue(out.contains("1 of 2 nodes have 1.1 in force, 1 refused it"), out);
--- a/src/test/java/onyxpaddle/sidecar/InvalidFilesTest.java
+++ b/src/test/java/onyxpaddle/sidecar/InvalidFilesTest.java
@@ -105,10 +105,10 @@
         Path inside = Files.createDirectory(folder.resolve("none"));
         assertEquals(List.of(
             "big.yaml: is larger than 1 MiB; a description has some KB; is it the right file?",
-            "empty.yaml: the file says nothing; see `lupinmount sidecar schema` for its keys",
+            "empty.yaml: the file is empty; see `lupinmount sidecar schema` for its keys",
             "gone.yaml: there is no such file; check the name",
             "latin.yaml:1:17: not UTF-8; save the file as UTF-8",
-            "loop.yaml: its symbolic links lead in a circle; let the link name a file",
+            "loop.yaml: its symbolic links form a loop; point the link at a file",
             "none: the folder has 0 configuration files; from 1 to 1000 that end in .yaml, .yml or .json"),
             faults(List.of(latin, big, loop, empty, inside, folder.resolve("gone.yaml"))));
     }
@@ -128,7 +128,7 @@
         StringWriter err = new StringWriter();
         assertEquals(78, SidecarCommand.run(new String[] {"check", file.toString()}, new PrintWriter(out),
             new PrintWriter(err), MACHINE));
-        assertEquals(file + ":2:7: port: is no port: `x`; a port from 1 to 65535\n" + file + ":4:10: default: `deadline` is"
+        assertEquals(file + ":2:7: port: is not a valid port: `x`; a port from 1 to 65535\n" + file + ":4:10: default: `deadline` is"
             + " missing; `deadline:` a time with its unit, such as `300 ms` or `2 s` from 1 ms to 1 h\n2 faults\n",
             err.toString());
         assertEquals("", out.toString());
