--- a/src/main/java/onyxpaddle/capacity/AddedTimeFigures.java
+++ b/src/main/java/onyxpaddle/capacity/AddedTimeFigures.java
@@ -3,9 +3,9 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** What {@code bin/measure added-time} gave at one rate; times in milliseconds. */
+/** Results of {@code bin/measure added-time} at one call rate; times in milliseconds. */
 final class AddedTimeFigures {
-    /** The rates that it measures: of a node at the mean, and of a busy one. */
+    /** The measured call rates per second: that of an average node and that of a busy one. */
     static final int MEAN_RATE = 261;
     static final int HOTTEST_RATE = 1_000;
     private static final int WITHIN = 0;
@@ -21,7 +21,7 @@
         this.figures = run.plain();
     }
 
-    /** Those of a run, where it has this rate. */
+    /** The results of a run at this rate; empty if the run did not measure it. */
     static Optional<AddedTimeFigures> of(MeasuredRun run, int perSecond) {
         AddedTimeFigures figures = new AddedTimeFigures(run, perSecond);
         return Double.isNaN(figures.time("added p99")) ? Optional.empty() : Optional.of(figures);
@@ -31,7 +31,7 @@
         return run;
     }
 
-    /** A time by its name, such as {@code straight p50}; NaN where the run has none of that name. */
+    /** A time by its name, such as {@code straight p50}; NaN if the run has no time of that name. */
     double time(String name) {
         return plain(name + " (ms)");
     }
@@ -40,7 +40,7 @@
         return plain("calls through");
     }
 
-    /** Calls that failed or had no answer, straight and through the node. */
+    /** Calls that failed or got no answer, both direct ones and those through the node. */
     double failed() {
         return plain("calls failed");
     }
@@ -57,8 +57,8 @@
         return figures.getOrDefault("added-time cores used by others, mean", Double.NaN);
     }
 
-    /** Whether the run could tell if the time is within its budget. */
-    boolean judged() {
+    /** Whether the run was precise enough to compare the time with its budget. */
+    boolean conclusive() {
         double verdict = plain("verdict (0 within, 1 over, 2 can't be judged)");
         return verdict == WITHIN || verdict == OVER;
     }
--- a/src/main/java/onyxpaddle/capacity/CapacityCell.java
+++ b/src/main/java/onyxpaddle/capacity/CapacityCell.java
@@ -3,33 +3,33 @@
 import java.util.Locale;
 
 /**
- * One need.
+ * One resource requirement: a value, its source and its budget.
  *
- * @param value in {@code unit}; NaN where it was not measured
- * @param origin where it comes from
- * @param from the run, slope or arithmetic, in some words
- * @param budget what is allowed, in {@code unit}; NaN where none is given
+ * @param value in {@code unit}; NaN if it was not measured
+ * @param origin how the value was obtained
+ * @param from describes the run, slope or arithmetic behind the value
+ * @param budget the limit, in {@code unit}; NaN if there is none
  */
 record CapacityCell(double value, String unit, Origin origin, String from, double budget) {
-    /** Less than this is what arithmetic of doubles leaves over. */
-    private static final double LEAST_SHOWN = 1e-9;
+    /** Absolute values below this are rounding errors of floating-point arithmetic and are shown as 0. */
+    private static final double ROUNDING_ERROR = 1e-9;
 
-    /** Where a need comes from. */
+    /** How a value was obtained; from the most to the least reliable. */
     enum Origin {
-        /** Measured at the size to design for. */
+        /** Measured at the design size. */
         MEASURED,
-        /** Measured with fewer nodes than that, or at another pace; {@code from} says which. */
-        MEASURED_OTHERWISE,
-        /** From a slope, up to twice the largest size measured. */
+        /** Measured with fewer nodes or at another event rate; {@code from} says which. */
+        MEASURED_OTHER_CONDITIONS,
+        /** Computed from a slope, for a size up to twice the largest one measured. */
         SLOPE,
-        /** From a slope, beyond that. */
+        /** Computed from a slope, for a size beyond that. */
         EXTRAPOLATED,
-        /** Arithmetic from what is given. */
-        RECKONED,
-        /** In no run. */
+        /** Calculated from the given design parameters. */
+        CALCULATED,
+        /** Not contained in any run. */
         NOT_MEASURED,
-        /** In a run that was too noisy for it. */
-        CANNOT_JUDGE
+        /** Measured in a run that was too noisy for a comparison with the budget. */
+        INCONCLUSIVE
     }
 
     static CapacityCell notMeasured() {
@@ -40,26 +40,26 @@
         return new CapacityCell(value, unit, origin, from, most);
     }
 
-    /** Need divided by budget; NaN where either is not there. */
+    /** Value divided by budget; NaN if either is missing. */
     double ratio() {
-        return origin == Origin.NOT_MEASURED || origin == Origin.CANNOT_JUDGE ? Double.NaN : value / budget;
+        return origin == Origin.NOT_MEASURED || origin == Origin.INCONCLUSIVE ? Double.NaN : value / budget;
     }
 
-    /** Whether it was read off a fitted line, whose row {@code from} is. */
+    /** Whether the value was computed from a fitted line; {@code from} is then the row of that line. */
     boolean onSlope() {
         return origin == Origin.SLOPE || origin == Origin.EXTRAPOLATED;
     }
 
-    /** As the page shows it. */
+    /** The text of the table cell. */
     String text() {
         return switch (origin) {
             case NOT_MEASURED -> "not measured";
-            case CANNOT_JUDGE -> "can't be judged here (" + from + ")";
+            case INCONCLUSIVE -> "can't be judged here (" + from + ")";
             case MEASURED -> figure();
-            case MEASURED_OTHERWISE -> figure() + " (" + from + ")";
+            case MEASURED_OTHER_CONDITIONS -> figure() + " (" + from + ")";
             case SLOPE -> figure() + " (slope)";
             case EXTRAPOLATED -> figure() + " (extrapolated)";
-            case RECKONED -> figure() + " (reckoned)";
+            case CALCULATED -> figure() + " (reckoned)";
         };
     }
 
@@ -67,12 +67,12 @@
         return number(value) + (unit.isEmpty() ? "" : " " + unit);
     }
 
-    /** Three digits that count, without an exponent. */
+    /** Formats a number with at least three significant digits (two below 0.1) and without an exponent. */
     static String number(double value) {
         if (Double.isNaN(value)) {
             return "none";
         }
-        double size = Math.abs(value) < LEAST_SHOWN ? 0 : Math.abs(value);
+        double size = Math.abs(value) < ROUNDING_ERROR ? 0 : Math.abs(value);
         String form = size >= 100 ? "%,.0f" : size >= 10 ? "%.1f" : size >= 1 ? "%.2f" : size >= 0.1 || size == 0 ? "%.3f" : "%.2g";
         String text = String.format(Locale.ROOT, form, size == 0 ? 0 : value);
         return text.contains("e") ? new java.math.BigDecimal(text).toPlainString() : text;
--- a/src/main/java/onyxpaddle/capacity/CapacityColumn.java
+++ b/src/main/java/onyxpaddle/capacity/CapacityColumn.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** What is needed, and by which names results have it; the first that is there counts. */
+/** A resource, and the names that results may use for it; the first one present is used. */
 enum CapacityColumn {
     STATE("State", List.of("state")),
     CALLS("Messages a second", List.of("calls")),
@@ -13,7 +13,7 @@
     WORST_8S("Most bytes in 8 s", List.of("worst8s")),
     PROCESSOR("Processor time", List.of("cpuControl", "cpu", "readCpuSeconds")),
     MEMORY("Memory", List.of("memoryControl", "memory")),
-    CURRENT("Until the last has it", List.of("lastCurrent", "changeSeconds")),
+    PROPAGATION_TIME("Until the last has it", List.of("lastCurrent", "changeSeconds")),
     ADDED("Added for 99 in 100 calls", List.of());
 
     private final String title;
--- a/src/main/java/onyxpaddle/capacity/CapacityPage.java
+++ b/src/main/java/onyxpaddle/capacity/CapacityPage.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.stream.Collectors;
 
-/** The page for operators, as Markdown: from rows to text, without any I/O. */
+/** Renders the capacity page for operators as Markdown; does no I/O. */
 final class CapacityPage {
     private static final List<CapacityColumn> TABLE = List.of(CapacityColumn.STATE, CapacityColumn.CALLS, CapacityColumn.BYTES_IN,
         CapacityColumn.BYTES_OUT, CapacityColumn.PROCESSOR, CapacityColumn.MEMORY);
@@ -31,27 +31,31 @@
         this.machine = machine;
     }
 
-    /** The page; {@code machine}: the state that the machine was in, in the operator's words, empty for unsaid. */
+    /**
+     * Renders the page.
+     *
+     * @param machine the operator's description of the machine and its load during the runs; empty if not given
+     */
     static String text(MeasuredRuns runs, String machine) {
         CapacityPage page = new CapacityPage(runs, machine);
-        page.all();
+        page.render();
         return page.out.toString();
     }
 
-    private void all() {
-        head();
-        top();
+    private void render() {
+        header();
+        priorities();
         configuration();
         added();
         for (CapacityRole role : CapacityRole.values()) {
             role(role);
         }
         slopes();
-        reckoned();
-        sources();
+        calculated();
+        runTable();
     }
 
-    private void head() {
+    private void header() {
         out.append("""
             # Capacity
 
@@ -82,35 +86,35 @@
             *(made faster)*; *(by the day's pace)* is what they add to calm, spread over the day. How many services a node calls is
             not given: one list at a front node, %d at the mean and %d at the hottest are assumed ([questions](questions.md)). The
             list service's processor time is held against one core for each of the four machines, as their cores are not given.
-            """.formatted(CapacityRole.SIDECAR_MEAN.watched(), CapacityRole.SIDECAR_HOTTEST.watched()));
+            """.formatted(CapacityRole.SIDECAR_MEAN.watchedServices(), CapacityRole.SIDECAR_HOTTEST.watchedServices()));
         if (!machine.isEmpty()) {
             line("");
             line("**Machine:** " + machine.replaceAll("\\p{Cntrl}", " "));
         }
     }
 
-    private void top() {
+    private void priorities() {
         line("");
         line("## Over budget, or without a mechanism");
         line("");
         table("Role", "When", "Need / budget", "Mechanism", "Time given");
-        List<CapacityRow> rows = plan.top();
-        for (List<CapacityRow> alike : alike(rows)) {
-            CapacityRow row = alike.get(0);
-            String when = alike.stream().map(r -> r.event().title()).collect(Collectors.joining("; "));
-            cells(row.role().title(), when, row.ratioText(), row.mechanism(), timeGiven(row));
+        List<CapacityRow> rows = plan.priorityRows();
+        for (List<CapacityRow> groupEqualRows : groupEqualRows(rows)) {
+            CapacityRow row = groupEqualRows.get(0);
+            String when = groupEqualRows.stream().map(r -> r.event().title()).collect(Collectors.joining("; "));
+            cells(row.role().title(), when, row.ratioText(), row.mechanism(), timeLimitText(row));
         }
         line("");
-        line(rows.isEmpty() ? "Nothing is over its budget, and each role has a mechanism." : first(rows.get(0)));
+        line(rows.isEmpty() ? "Nothing is over its budget, and each role has a mechanism." : priorityReason(rows.get(0)));
     }
 
-    /** Rows in sequence of which the page says the same but for the event. */
-    private static List<List<CapacityRow>> alike(List<CapacityRow> rows) {
+    /** Groups consecutive rows that the page shows with the same text apart from the event. */
+    private static List<List<CapacityRow>> groupEqualRows(List<CapacityRow> rows) {
         List<List<CapacityRow>> groups = new ArrayList<>();
         CapacityRow before = null;
         for (CapacityRow row : rows) {
             boolean same = before != null && before.role() == row.role() && before.ratioText().equals(row.ratioText())
-                && timeGiven(before).equals(timeGiven(row));
+                && timeLimitText(before).equals(timeLimitText(row));
             if (!same) {
                 groups.add(new ArrayList<>());
             }
@@ -120,24 +124,24 @@
         return groups;
     }
 
-    private static String timeGiven(CapacityRow row) {
-        return Double.isNaN(row.namedTime()) ? "" : String.format(Locale.ROOT, "%.0f s", row.namedTime());
+    private static String timeLimitText(CapacityRow row) {
+        return Double.isNaN(row.timeLimitSeconds()) ? "" : String.format(Locale.ROOT, "%.0f s", row.timeLimitSeconds());
     }
 
-    /** Why what stands on top comes first. */
-    private static String first(CapacityRow row) {
+    /** Explains why the first row of the table has the highest priority. */
+    private static String priorityReason(CapacityRow row) {
         StringBuilder text = new StringBuilder("**What comes first: ").append(row.role().title().toLowerCase(Locale.ROOT))
             .append(", ").append(row.event().title()).append(".** ");
-        if (row.carried()) {
-            return text.append("Every role has a mechanism, and this one is furthest over its budget: ").append(row.ratioText()).append('.')
-                .toString();
+        if (row.hasMechanism()) {
+            return text.append("Every role has a mechanism, and this one is furthest over its budget: ")
+                .append(row.ratioText()).append('.').toString();
         }
         text.append("No package carries it");
-        if (!Double.isNaN(row.namedTime())) {
+        if (!Double.isNaN(row.timeLimitSeconds())) {
             text.append(", and of what nothing carries it is the one that a time is given for (")
-                .append(timeGiven(row)).append(')');
+                .append(timeLimitText(row)).append(')');
         }
-        text.append(row.why().isEmpty() ? ". What it needs was not measured." : ": " + row.why() + ".");
+        text.append(row.reason().isEmpty() ? ". What it needs was not measured." : ": " + row.reason() + ".");
         return text.toString();
     }
 
@@ -146,7 +150,7 @@
         line("");
         line("## " + ConfigurationSection.TITLE);
         line("");
-        line(section.why());
+        line(section.reason());
         line("");
         table(ConfigurationSection.COLUMNS.toArray(String[]::new));
         section.rows().forEach(row -> cells(row.toArray(String[]::new)));
@@ -175,7 +179,7 @@
     private void added(int rate, AddedTimeFigures figures) {
         String added = times(figures, "added p99") + " (" + times(figures, "added p99 lowest round") + " to "
             + times(figures, "added p99 highest round") + ")";
-        String ratio = figures.judged() ? CapacityCell.number(figures.time("added p99") / DesignSize.ADDED_MS) : "can't be judged here";
+        String ratio = figures.conclusive() ? CapacityCell.number(figures.time("added p99") / DesignSize.ADDED_LATENCY_MS) : "can't be judged here";
         cells(String.valueOf(rate), times(figures, "straight p50", "straight p99", "straight p99.9"),
             times(figures, "through p50", "through p99", "through p99.9"), times(figures, "added p50"), added,
             times(figures, "noise p50", "noise p99"), ratio,
@@ -207,7 +211,7 @@
         List<CapacityColumn> columns = new ArrayList<>(TABLE);
         columns.add(role.node() ? CapacityColumn.WORST_8S : CapacityColumn.MOST_CALLS);
         if (!role.node()) {
-            columns.add(CapacityColumn.CURRENT);
+            columns.add(CapacityColumn.PROPAGATION_TIME);
         }
         List<String> titles = new ArrayList<>(List.of("When"));
         columns.forEach(column -> titles.add(column.title()));
@@ -247,11 +251,11 @@
         String sizes = CapacityCell.number(slope.smallest()) + " to " + CapacityCell.number(slope.largest()) + " " + slope.over();
         cells("`" + slope.row() + "`", CapacityCell.number(slope.slope()) + " " + slope.unit(), CapacityCell.number(slope.intercept()),
             CapacityCell.number(slope.residual()), CapacityCell.number(slope.rSquared()), sizes,
-            Double.isNaN(slope.apart()) ? "not measured" : CapacityCell.number(slope.apart()),
+            Double.isNaN(slope.predictionError()) ? "not measured" : CapacityCell.number(slope.predictionError()),
             slope.linear() ? "linear" : "**not linear**");
     }
 
-    private void reckoned() {
+    private void calculated() {
         line("");
         line("## Reckoned");
         line("");
@@ -261,14 +265,14 @@
         CalculatedFigure.all().forEach(r -> cells(r.what(), r.how(), CapacityCell.number(r.value()) + " " + r.unit(), r.ratio()));
     }
 
-    private void sources() {
+    private void runTable() {
         line("");
         line("## Runs");
         line("");
         table("File", "Measurement", "Nodes", "Servers", "Real nodes", "Cores", "Rounds", "Window", "Verdict");
         for (MeasuredRun run : runs.all()) {
-            String shortOf = run.shortOf().isEmpty() ? "" : ": " + String.join(", ", run.shortOf());
-            String verdict = run.holds() ? "holds" : "falls short" + shortOf;
+            String failedChecks = run.failedChecks().isEmpty() ? "" : ": " + String.join(", ", run.failedChecks());
+            String verdict = run.passed() ? "holds" : "falls short" + failedChecks;
             String window = run.settings().containsKey("windowSeconds") ? setting(run, "windowSeconds") + " s" : "";
             cells(run.file(), run.measurement(), setting(run, "nodes"), setting(run, "servers"), setting(run, "realNodes"),
                 setting(run, "cores"), setting(run, "rounds"), window, verdict);
@@ -291,7 +295,7 @@
     private void cells(String... texts) {
         List<String> safe = new ArrayList<>();
         for (String text : texts) {
-            // What comes from a file must not end a cell or a line.
+            // Text from a file must not terminate a cell or a line.
             safe.add(text.replace("|", "\\|").replaceAll("\\p{Cntrl}", " "));
         }
         line("| " + String.join(" | ", safe) + " |");
--- a/src/main/java/onyxpaddle/capacity/CapacityRenderer.java
+++ b/src/main/java/onyxpaddle/capacity/CapacityRenderer.java
@@ -8,15 +8,15 @@
 import java.util.List;
 import onyxpaddle.config.Faults;
 
-/** Makes the page from files of figures. */
+/** Renders the capacity page from result files. */
 public final class CapacityRenderer {
     private CapacityRenderer() {
     }
 
     /**
-     * The page of these files; null where one has faults, which are then among {@code faults}.
+     * Renders the page from these files; returns null if one of them is invalid, with the reasons added to {@code faults}.
      *
-     * @param machine the state that the machine was in, empty for unsaid
+     * @param machine description of the machine and its load during the runs; empty if not given
      */
     public static String page(List<Path> files, String machine, Faults faults) {
         List<MeasuredRun> runs = new ArrayList<>();
@@ -29,10 +29,10 @@
         return faults.any() ? null : CapacityPage.text(new MeasuredRuns(runs), machine);
     }
 
-    /** Writes a page, whole or not at all. */
+    /** Replaces the file atomically. */
     public static void write(Path to, String page) throws IOException {
-        Path beside = to.resolveSibling(to.getFileName() + ".new");
-        Files.writeString(beside, page);
-        Files.move(beside, to, StandardCopyOption.REPLACE_EXISTING, StandardCopyOption.ATOMIC_MOVE);
+        Path temporary = to.resolveSibling(to.getFileName() + ".new");
+        Files.writeString(temporary, page);
+        Files.move(temporary, to, StandardCopyOption.REPLACE_EXISTING, StandardCopyOption.ATOMIC_MOVE);
     }
 }
--- a/src/main/java/onyxpaddle/capacity/CapacityRole.java
+++ b/src/main/java/onyxpaddle/capacity/CapacityRole.java
@@ -2,12 +2,12 @@
 
 import java.util.List;
 
-/** Who needs something, and which packages carry it. */
+/** A consumer of resources, and the packages that implement it. */
 enum CapacityRole {
     FRONT("front", "Front node", List.of("membership", "serve"), 1),
     SIDECAR_MEAN("sidecar-mean", "Node beside a server, at the mean", List.of("membership", "serve"), 2),
     SIDECAR_HOTTEST("sidecar-hottest", "Node beside a server of the hottest service", List.of("membership", "serve"), 8),
-    /** The platform's own; what stands in for it when measured is no part of a node. */
+    /** Provided by the platform; measurements use a stand-in that is not part of a node. */
     LIST_SERVICE("list-service", "List service", List.of("scale"), 0),
     CONFIGURATION("configuration", "Carrier of configuration", List.of("control", "distribution"), 0),
     FLEET_OWNER("fleet-owner", "Owner of fleet work", List.of(), 0),
@@ -16,16 +16,16 @@
     private final String key;
     private final String title;
     private final List<String> packages;
-    private final int watched;
+    private final int watchedServices;
 
-    CapacityRole(String key, String title, List<String> packages, int watched) {
+    CapacityRole(String key, String title, List<String> packages, int watchedServices) {
         this.key = key;
         this.title = title;
         this.packages = packages;
-        this.watched = watched;
+        this.watchedServices = watchedServices;
     }
 
-    /** As results name it. */
+    /** The name of the role in result files. */
     String key() {
         return key;
     }
@@ -34,23 +34,23 @@
         return title;
     }
 
-    /** The packages that carry its work; none where nothing does. */
+    /** The packages that implement it; empty if there are none. */
     List<String> packages() {
         return packages;
     }
 
-    /** Whether it is a node, which has a node's budget. */
+    /** Whether the role is a node, to which the per-node budgets apply. */
     boolean node() {
-        return watched > 0;
+        return watchedServices > 0;
     }
 
-    /** Services whose lists a node of this role watches: assumed, as the measurement at scale assumes it; 0 for what is no node. */
-    int watched() {
-        return watched;
+    /** Number of services whose lists a node of this role watches, the same assumption as in the scale measurement; 0 if not a node. */
+    int watchedServices() {
+        return watchedServices;
     }
 
-    /** Lines of lists that a node of this role holds. */
+    /** Number of list lines that a node of this role holds. */
     double lines() {
-        return watched * DesignSize.serversAService();
+        return watchedServices * DesignSize.serversPerService();
     }
 }
--- a/src/main/java/onyxpaddle/capacity/CapacityRow.java
+++ b/src/main/java/onyxpaddle/capacity/CapacityRow.java
@@ -5,41 +5,41 @@
 import java.util.Map;
 
 /**
- * What a role needs in an event.
+ * The requirements of a role during an event.
  *
- * @param cells by column, those that the role has
- * @param namedTime the time that is given for it, in seconds; NaN where none is
- * @param atLeastRatio a ratio that it is known to exceed without its own figure, such as that nothing was in force when the time was
- *     over; NaN where nothing is known
- * @param why the figures that this rests on, in a sentence; empty for none
+ * @param cells by column; only the columns that apply to the role
+ * @param timeLimitSeconds the time limit, in seconds; NaN if there is none
+ * @param atLeastRatio a lower bound of the ratio, known without a figure of its own, such as 1 if a change was not in force
+ *     everywhere at the time limit; NaN if unknown
+ * @param reason a sentence that gives the figures behind this; empty if there are none
  */
-record CapacityRow(CapacityRole role, CapacityEvent event, Map<CapacityColumn, CapacityCell> cells, double namedTime, double atLeastRatio,
-        String why) {
-    /** First what nothing carries, among that what a time is given for; then by need divided by budget. */
-    static final Comparator<CapacityRow> MOST_NEEDED_FIRST = Comparator.comparing((CapacityRow row) -> row.carried())
-        .thenComparing(row -> Double.isNaN(row.namedTime)).thenComparing(row -> -row.sortRatio())
+record CapacityRow(CapacityRole role, CapacityEvent event, Map<CapacityColumn, CapacityCell> cells, double timeLimitSeconds,
+        double atLeastRatio, String reason) {
+    /** Rows without a mechanism first, among them those with a time limit first; then by the ratio of requirement to budget. */
+    static final Comparator<CapacityRow> BY_PRIORITY = Comparator.comparing((CapacityRow row) -> row.hasMechanism())
+        .thenComparing(row -> Double.isNaN(row.timeLimitSeconds)).thenComparing(row -> -row.sortRatio())
         .thenComparing(CapacityRow::role).thenComparing(CapacityRow::event);
 
     CapacityRow {
         cells = new EnumMap<>(cells);
     }
 
-    /** Whether there is a mechanism. */
-    boolean carried() {
+    /** Whether a package implements the role. */
+    boolean hasMechanism() {
         return !role.packages().isEmpty();
     }
 
-    boolean onTop() {
-        return !carried() || ratio() > 1 || atLeastRatio >= 1;
+    boolean overBudgetOrWithoutMechanism() {
+        return !hasMechanism() || ratio() > 1 || atLeastRatio >= 1;
     }
 
-    /** The highest need divided by its budget; NaN where no cell has both. */
+    /** The highest ratio of requirement to budget; NaN if no cell has both. */
     double ratio() {
         CapacityColumn column = worst();
         return column == null ? Double.NaN : cells.get(column).ratio();
     }
 
-    /** The column with the highest ratio; null where none has one. */
+    /** The column with the highest ratio; null if no cell has a ratio. */
     CapacityColumn worst() {
         CapacityColumn worst = null;
         for (CapacityColumn column : cells.keySet()) {
@@ -56,7 +56,7 @@
         return Double.isNaN(atLeastRatio) ? own : Math.max(own, atLeastRatio);
     }
 
-    /** Need divided by budget, as the page shows it. */
+    /** The ratio of requirement to budget as shown on the page. */
     String ratioText() {
         if (!Double.isNaN(atLeastRatio)) {
             return "over " + CapacityCell.number(atLeastRatio);
@@ -69,17 +69,17 @@
     }
 
     private String withoutRatio() {
-        if (cells.values().stream().anyMatch(cell -> cell.origin() == CapacityCell.Origin.CANNOT_JUDGE)) {
+        if (cells.values().stream().anyMatch(cell -> cell.origin() == CapacityCell.Origin.INCONCLUSIVE)) {
             return "can't be judged here";
         }
         boolean measured = cells.values().stream().anyMatch(cell -> cell.origin() != CapacityCell.Origin.NOT_MEASURED
-            && cell.origin() != CapacityCell.Origin.RECKONED);
+            && cell.origin() != CapacityCell.Origin.CALCULATED);
         return measured ? "no budget at this size" : "not measured";
     }
 
-    /** The packages that carry it, or none. */
+    /** The packages that implement the role, as shown on the page. */
     String mechanism() {
-        if (!carried()) {
+        if (!hasMechanism()) {
             return "**none**";
         }
         return role == CapacityRole.LIST_SERVICE ? "the platform's service (measured: a stand-in in `scale`)"
--- a/src/main/java/onyxpaddle/capacity/DesignSize.java
+++ b/src/main/java/onyxpaddle/capacity/DesignSize.java
@@ -1,73 +1,73 @@
 package onyxpaddle.capacity;
 
-/** The size to design for and the budgets, as given; nothing here was measured. */
+/** The design size of the fleet and the budgets, as specified; none of these values is measured. */
 final class DesignSize {
     static final int NODES = 920;
     static final int SERVERS = 920;
     static final int SERVICES = 57;
     static final double CALLS_PER_SECOND = 240_000;
     static final int DEPTH = 9;
-    static final double CONFIGURATION_CHANGES_A_DAY = 2_000;
-    static final double RESTARTS_A_DAY = 240;
-    static final double FAILURES_A_DAY = 2;
-    /** Of one server's restart or failure: it drains or fails, is gone, and is back. */
-    static final int LIST_CHANGES_EACH = 3;
-    static final double SECONDS_A_DAY = 86_400;
+    static final double CONFIGURATION_CHANGES_PER_DAY = 2_000;
+    static final double RESTARTS_PER_DAY = 240;
+    static final double FAILURES_PER_DAY = 2;
+    /** List changes for one restart or failure of a server: it drains or fails, is gone, and returns. */
+    static final int LIST_CHANGES_PER_OUTAGE = 3;
+    static final double SECONDS_PER_DAY = 86_400;
 
-    /** A change of configuration is in force everywhere within this. */
-    static final double IN_FORCE_S = 8;
-    /** For 99 in 100 calls. */
-    static final double ADDED_MS = 0.36;
-    /** Of one core, for a node's control. */
+    /** Time limit for a configuration change to be in force on all nodes, in seconds. */
+    static final double PROPAGATION_LIMIT_S = 8;
+    /** Limit of the time that a node adds to a call, at p99, in milliseconds. */
+    static final double ADDED_LATENCY_MS = 0.36;
+    /** CPU budget of a node's control work, as a percentage of one core. */
     static final double NODE_CORE_PERCENT = 2.6;
-    /** 32 MB, for a node's control. */
+    /** Memory budget of a node's control work: 32 MB. */
     static final double NODE_MEMORY_MIB = 32e6 / (1 << 20);
-    /** Read and written together, for a node's control. */
+    /** Byte budget of a node's control traffic, reads and writes together. */
     static final double NODE_BYTES_PER_SECOND = 3_000;
     static final int CONTROL_MACHINES = 4;
 
-    /** Bytes of one server's line in a list: what the arithmetic for the size assumes. */
+    /** Assumed size of a server's line in a list, in bytes. */
     static final int LINE_BYTES = 150;
-    /** How long a watch of a list waits before it asks again ({@code membership.ListWatch}). */
-    static final double WATCH_S = 2;
+    /** Interval between two requests of a list watch, in seconds ({@code membership.ListWatch}). */
+    static final double WATCH_INTERVAL_S = 2;
 
-    private static final double PERCENT_OF_A_CORE = 100;
+    private static final double PERCENT_PER_CORE = 100;
 
     private DesignSize() {
     }
 
-    static double callsAtANode() {
+    static double callsPerNode() {
         return CALLS_PER_SECOND / NODES;
     }
 
-    /** Servers of one service, at the mean. */
-    static double serversAService() {
+    /** Mean number of servers per service. */
+    static double serversPerService() {
         return (double) SERVERS / SERVICES;
     }
 
     static double listChangesPerSecond() {
-        return (RESTARTS_A_DAY + FAILURES_A_DAY) * LIST_CHANGES_EACH / SECONDS_A_DAY;
+        return (RESTARTS_PER_DAY + FAILURES_PER_DAY) * LIST_CHANGES_PER_OUTAGE / SECONDS_PER_DAY;
     }
 
     static double deliveriesPerSecond() {
-        return CONFIGURATION_CHANGES_A_DAY * NODES / SECONDS_A_DAY;
+        return CONFIGURATION_CHANGES_PER_DAY * NODES / SECONDS_PER_DAY;
     }
 
     static double wholeListBytes() {
         return (double) SERVERS * LINE_BYTES;
     }
 
-    /** What all nodes may read and write for control, in bytes a second. */
+    /** Byte budget of the control traffic of all nodes together, per second. */
     static double fleetBytesPerSecond() {
         return NODE_BYTES_PER_SECOND * NODES;
     }
 
-    /** One core for each of the control machines: the least that they have, as how many isn't given. */
+    /** CPU budget of the control machines: one core each, the minimum, as their number of cores is not specified. */
     static double machinesCorePercent() {
-        return CONTROL_MACHINES * PERCENT_OF_A_CORE;
+        return CONTROL_MACHINES * PERCENT_PER_CORE;
     }
 
-    /** What each of the control machines then carries. */
+    /** Control traffic per control machine if every node uses its full budget. */
     static double machineBytesPerSecond() {
         return fleetBytesPerSecond() / CONTROL_MACHINES;
     }
--- a/src/main/java/onyxpaddle/capacity/JsonFields.java
+++ b/src/main/java/onyxpaddle/capacity/JsonFields.java
@@ -11,9 +11,9 @@
 import onyxpaddle.config.Value.Scalar;
 import onyxpaddle.config.Value.Sequence;
 
-/** Reads the fields of one JSON object. What is missing or of another kind is a fault, and reading goes on with a default. */
+/** Reads the fields of a JSON object. A field that is missing or of the wrong type is reported as a fault and read as a default value. */
 final class JsonFields {
-    private static final Mapping NOTHING = new Mapping(Place.of(""), "", Map.of(), Map.of());
+    private static final Mapping EMPTY = new Mapping(Place.of(""), "", Map.of(), Map.of());
 
     private final Mapping object;
     private final Faults faults;
@@ -27,30 +27,30 @@
         if (value instanceof Mapping mapping) {
             return new JsonFields(mapping, faults);
         }
-        faults.add(value.place(), value.path(), "is no object", "`{...}`");
-        return new JsonFields(NOTHING, faults);
+        faults.add(value.place(), value.path(), "is not an object", "`{...}`");
+        return new JsonFields(EMPTY, faults);
     }
 
     boolean has(String name) {
         return object.values().containsKey(name);
     }
 
-    void fault(String name, String wrong, String right) {
+    void fault(String name, String problem, String expected) {
         Value value = object.values().get(name);
         String path = object.path().isEmpty() ? name : object.path() + "." + name;
-        faults.add(value == null ? object.place() : value.place(), path, wrong, right);
+        faults.add(value == null ? object.place() : value.place(), path, problem, expected);
     }
 
-    /** A text; empty where it is at fault. */
+    /** A string; empty if it is invalid. */
     String text(String name) {
         if (object.values().get(name) instanceof Scalar scalar && scalar.quoted()) {
             return scalar.text();
         }
-        fault(name, has(name) ? "is no text" : "is missing", "a text in quotes");
+        fault(name, has(name) ? "is not a string" : "is missing", "a string in quotes");
         return "";
     }
 
-    /** One of some words; empty where it is at fault. */
+    /** One of the given words; empty if it is invalid. */
     String word(String name, Set<String> words) {
         String text = text(name);
         if (!text.isEmpty() && !words.contains(text)) {
@@ -68,7 +68,7 @@
         return false;
     }
 
-    /** A number; NaN where it is {@code null} (measured, and no number came of it) or at fault. */
+    /** A number; NaN if it is {@code null} (measured without a usable result) or invalid. */
     double number(String name) {
         if (!has(name)) {
             fault(name, "is missing", "a number");
@@ -88,32 +88,32 @@
                     return number;
                 }
             } catch (NumberFormatException e) {
-                // told below
+                // reported below
             }
         }
-        faults.add(value.place(), value.path(), "is no number", "a number, or null where there is none");
+        faults.add(value.place(), value.path(), "is not a number", "a number, or null if there is none");
         return Double.NaN;
     }
 
-    /** An object below; an empty one where it is at fault. */
+    /** A nested object; empty if it is invalid. */
     JsonFields object(String name) {
         if (has(name)) {
             return of(object.values().get(name), faults);
         }
         fault(name, "is missing", "`{...}`");
-        return new JsonFields(NOTHING, faults);
+        return new JsonFields(EMPTY, faults);
     }
 
-    /** The objects of a list below; none where it is at fault. */
+    /** The objects of a nested array; empty if it is invalid. */
     List<JsonFields> objects(String name) {
         if (object.values().get(name) instanceof Sequence sequence) {
             return sequence.items().stream().map(item -> of(item, faults)).toList();
         }
-        fault(name, has(name) ? "is no list" : "is missing", "`[...]`");
+        fault(name, has(name) ? "is not an array" : "is missing", "`[...]`");
         return List.of();
     }
 
-    /** All fields as numbers, by name; those that are null are left out. */
+    /** All fields as numbers, by name; null and invalid ones are omitted. */
     Map<String, Double> numbers() {
         Map<String, Double> numbers = new TreeMap<>();
         object.values().forEach((name, value) -> {
--- a/src/main/java/onyxpaddle/capacity/JsonTree.java
+++ b/src/main/java/onyxpaddle/capacity/JsonTree.java
@@ -14,11 +14,11 @@
 import onyxpaddle.config.Place;
 import onyxpaddle.config.Value;
 
-/** One JSON document as a tree of values with their places. */
+/** Parses a JSON document into a tree of values with their positions in the file. */
 final class JsonTree {
-    private static final int DEEPEST = 20;
+    private static final int MAX_DEPTH = 20;
     private static final JsonFactory JSON = new JsonFactory();
-    private static final String RIGHT = "a file that `bin/measure NAME --json FILE` wrote";
+    private static final String EXPECTED = "a file written by `bin/measure NAME --json FILE`";
 
     private final String file;
     private final JsonParser parser;
@@ -28,39 +28,39 @@
         this.parser = parser;
     }
 
-    /** The tree of a text, or null with the reason among the faults; {@code file} is what its places call it. */
+    /** Parses a text; returns null and adds the reason to the faults if it is invalid. {@code file} is the file name used in positions. */
     static Value parse(String file, String text, Faults faults) {
         try (JsonParser parser = JSON.createParser(text)) {
             parser.enable(JsonParser.Feature.STRICT_DUPLICATE_DETECTION);
             JsonTree tree = new JsonTree(file, parser);
             if (parser.nextToken() == null) {
-                faults.add(Place.of(file), "", "is empty", RIGHT);
+                faults.add(Place.of(file), "", "is empty", EXPECTED);
                 return null;
             }
             Value value = tree.value("", 0);
             if (parser.nextToken() != null) {
-                faults.add(tree.place(), "", "goes on after its end", RIGHT);
+                faults.add(tree.place(), "", "has content after its end", EXPECTED);
                 return null;
             }
             return value;
         } catch (JsonProcessingException e) {
-            JsonLocation at = e.getLocation();
-            Place place = at == null ? Place.of(file) : new Place(file, at.getLineNr(), at.getColumnNr());
-            faults.add(place, "", "is not JSON: " + e.getOriginalMessage().lines().findFirst().orElse(""), RIGHT);
+            JsonLocation position = e.getLocation();
+            Place place = position == null ? Place.of(file) : new Place(file, position.getLineNr(), position.getColumnNr());
+            faults.add(place, "", "is not JSON: " + e.getOriginalMessage().lines().findFirst().orElse(""), EXPECTED);
         } catch (IOException e) {
-            faults.add(Place.of(file), "", "cannot be read: " + e.getMessage(), RIGHT);
+            faults.add(Place.of(file), "", "cannot be read: " + e.getMessage(), EXPECTED);
         }
         return null;
     }
 
     private Place place() {
-        JsonLocation at = parser.currentTokenLocation();
-        return new Place(file, at.getLineNr(), at.getColumnNr());
+        JsonLocation position = parser.currentTokenLocation();
+        return new Place(file, position.getLineNr(), position.getColumnNr());
     }
 
     private Value value(String path, int depth) throws IOException {
-        if (depth > DEEPEST) {
-            throw new com.fasterxml.jackson.core.JsonParseException(parser, "nested more than " + DEEPEST + " deep");
+        if (depth > MAX_DEPTH) {
+            throw new com.fasterxml.jackson.core.JsonParseException(parser, "nested more than " + MAX_DEPTH + " levels deep");
         }
         Place place = place();
         return switch (parser.currentToken()) {
--- a/src/main/java/onyxpaddle/capacity/MeasuredRun.java
+++ b/src/main/java/onyxpaddle/capacity/MeasuredRun.java
@@ -4,20 +4,19 @@
 import java.util.Map;
 
 /**
- * What one run of a measurement gave.
+ * The results of one run of a measurement.
  *
- * @param file its name, as the page cites it
+ * @param file name of the result file, as shown on the page
  * @param measurement {@code scale} or {@code added-time}
- * @param holds its verdict
- * @param settings what it was made with, by the names that the measurement's page gives
+ * @param passed whether the run met all its checks
+ * @param settings parameters of the run, by the names in the documentation of the measurement
  * @param slopes fitted lines
- * @param figures single figures of a role in an event
- * @param shortOf checks that did not hold, by name
+ * @param figures individual figures, each of a role during an event
+ * @param failedChecks names of the checks that failed
  * @param plain figures without a role, by name
  */
-record MeasuredRun(String file, String measurement, boolean holds, Map<String, Double> settings, List<MeasuredSlope> slopes,
-        List<Figure> figures, List<String> shortOf, Map<String, Double> plain) {
-    /** One figure. */
+record MeasuredRun(String file, String measurement, boolean passed, Map<String, Double> settings, List<MeasuredSlope> slopes,
+        List<Figure> figures, List<String> failedChecks, Map<String, Double> plain) {
     record Figure(String role, String event, String quantity, String unit, double value) {
     }
 
@@ -25,11 +24,11 @@
         settings = Map.copyOf(settings);
         slopes = List.copyOf(slopes);
         figures = List.copyOf(figures);
-        shortOf = List.copyOf(shortOf);
+        failedChecks = List.copyOf(failedChecks);
         plain = Map.copyOf(plain);
     }
 
-    /** Nodes of its fleet; 0 where it had none. */
+    /** Number of nodes in the fleet of the run; 0 if it had no fleet. */
     int nodes() {
         return settings.getOrDefault("nodes", 0.0).intValue();
     }
--- a/src/main/java/onyxpaddle/capacity/MeasuredRunReader.java
+++ b/src/main/java/onyxpaddle/capacity/MeasuredRunReader.java
@@ -10,9 +10,9 @@
 import onyxpaddle.config.SourceFile;
 import onyxpaddle.config.Value;
 
-/** Reads what a measurement wrote by {@code --json}, with all that is wrong with it. */
+/** Reads a file written by a measurement with {@code --json}, and reports all its faults. */
 final class MeasuredRunReader {
-    private static final int FORM = 1;
+    private static final int FORMAT_VERSION = 1;
 
     private final String file;
     private final JsonFields root;
@@ -22,13 +22,13 @@
         this.root = root;
     }
 
-    /** The run in a file; null where the file has faults. */
+    /** Reads the run in a file; returns null if the file is invalid. */
     static MeasuredRun file(Path file, Faults faults) {
         String text = SourceFile.text(file, faults);
         return text == null ? null : read(file.toString(), text, faults);
     }
 
-    /** As {@link #file}, of a file's text. */
+    /** As {@link #file}, for the text of a file. */
     static MeasuredRun read(String name, String text, Faults faults) {
         Faults own = new Faults();
         Value value = JsonTree.parse(name, text, own);
@@ -42,25 +42,27 @@
 
     private MeasuredRun run() {
         String measurement = root.word("measurement", Set.of("added-time", "scale"));
-        boolean holds = root.flag("holds");
+        boolean passed = root.flag("holds");
         if (measurement.equals("scale")) {
-            return scale(holds);
+            return scale(passed);
         }
         Map<String, Double> plain = root.object("figures").numbers();
-        return new MeasuredRun(file, measurement, holds, Map.of(), List.of(), List.of(), List.of(), plain);
+        return new MeasuredRun(file, measurement, passed, Map.of(), List.of(), List.of(), List.of(), plain);
     }
 
-    private MeasuredRun scale(boolean holds) {
-        if (root.number("form") != FORM) {
-            root.fault("form", "is of another version of the program", "form " + FORM + ": `bin/measure scale --json` writes it");
+    private MeasuredRun scale(boolean passed) {
+        if (root.number("form") != FORMAT_VERSION) {
+            root.fault("form", "is not the format of this program version",
+                "form " + FORMAT_VERSION + ": `bin/measure scale --json` writes it");
         }
         String fault = root.text("fault");
         if (!fault.equals("none")) {
-            root.fault("fault", "a fault was put in: `" + fault + "`", "a run without one: what a fault costs is no need");
+            root.fault("fault", "the run has an injected fault: `" + fault + "`",
+                "a run without a fault, as the cost of a fault is not a requirement");
         }
         List<MeasuredSlope> slopes = root.objects("slopes").stream().map(this::slope).toList();
         List<Figure> figures = root.objects("figures").stream().map(this::figure).toList();
-        return new MeasuredRun(file, "scale", holds, root.object("settings").numbers(), slopes, figures, shortOf(), Map.of());
+        return new MeasuredRun(file, "scale", passed, root.object("settings").numbers(), slopes, figures, failedChecks(), Map.of());
     }
 
     private MeasuredSlope slope(JsonFields fields) {
@@ -68,9 +70,9 @@
         fields.objects("points").forEach(point -> sizes.add(point.number("size")));
         double smallest = sizes.stream().mapToDouble(Double::doubleValue).min().orElse(Double.NaN);
         boolean linear = fields.word("verdict", Set.of("linear", "not-linear")).equals("linear");
-        double apart = fields.object("foretold").number("apart");
+        double predictionError = fields.object("foretold").number("apart");
         return new MeasuredSlope(fields.text("row"), fields.text("over"), fields.text("unit"), fields.number("intercept"),
-            fields.number("slope"), fields.number("residual"), fields.number("rSquared"), apart, linear, smallest,
+            fields.number("slope"), fields.number("residual"), fields.number("rSquared"), predictionError, linear, smallest,
             fields.number("largest"));
     }
 
@@ -79,7 +81,7 @@
             fields.number("value"));
     }
 
-    private List<String> shortOf() {
+    private List<String> failedChecks() {
         List<String> names = new ArrayList<>();
         for (JsonFields check : root.objects("checks")) {
             if (!check.flag("holds")) {
--- a/src/test/java/onyxpaddle/capacity/CapacityPageTest.java
+++ b/src/test/java/onyxpaddle/capacity/CapacityPageTest.java
@@ -15,12 +15,12 @@
 import onyxpaddle.config.Faults;
 import org.junit.jupiter.api.Test;
 
-/** The page, from small files of figures. */
+/** Renders the page from small result files. */
 class CapacityPageTest {
     private static final String TOP = "## Over budget, or without a mechanism";
 
     @Test
-    void withoutAnyRunNothingIsSaidToBeMeasured() {
+    void withoutRunsEverythingMeasurableIsShownAsNotMeasured() {
         String page = CapacityPage.text(new MeasuredRuns(List.of()), "");
         String calm = line(section(page, "## Node beside a server, at the mean"), "| calm");
         assertTrue(calm.endsWith(" the list service is down | 4,842 B (reckoned) |" + " not measured |".repeat(7)), calm);
@@ -29,7 +29,7 @@
     }
 
     @Test
-    void everyRoleHasEveryEvent() {
+    void everyRoleListsEveryEvent() {
         String page = CapacityPage.text(new MeasuredRuns(List.of()), "");
         for (CapacityRole role : CapacityRole.values()) {
             String section = section(page, "## " + role.title());
@@ -43,31 +43,34 @@
     }
 
     @Test
-    void whatNothingCarriesStandsBeforeWhateverElseIsOverItsBudget() {
+    void rolesWithoutMechanismPrecedeOtherRowsOverBudget() {
         String scale = scale(920, "", figure("sidecar-mean", "calm", "cpuControl", "core-percent", 260),
             figure("configuration", "configuration-change", "inForceAfter8s", "nodes", 900),
             figure("configuration", "configuration-change", "ofNodes", "nodes", 920));
         String top = section(page(scale), TOP);
         List<String> rows = top.lines().filter(l -> l.startsWith("| ")).skip(2).toList();
         assertEquals(3, rows.size(), top);
-        assertTrue(rows.get(0).startsWith("| Owner of fleet work | calm; 240 restarts a day; a rack is lost;") && rows.get(0).contains("**none**"),
+        assertTrue(rows.get(0).startsWith("| Owner of fleet work | calm; 240 restarts a day; a rack is lost;")
+                && rows.get(0).contains("**none**"),
             "what differs by its event alone is one row: " + top);
-        assertEquals("| Carrier of configuration | a change of configuration | over 1.00 | `control`, `distribution` | 8 s |", rows.get(1));
+        assertEquals("| Carrier of configuration | a change of configuration | over 1.00 | `control`, `distribution` | 8 s |",
+            rows.get(1));
         assertEquals("| Node beside a server, at the mean | calm | 100 (processor time) | `membership`, `serve` |  |", rows.get(2));
         assertTrue(top.contains("**What comes first: owner of fleet work, calm.** No package carries it"), top);
     }
 
     @Test
-    void ofWhatNothingCarriesTheOneThatATimeIsGivenForStandsFirst() {
+    void amongRolesWithoutMechanismThoseWithTimeLimitComeFirst() {
         Map<CapacityColumn, CapacityCell> none = new EnumMap<>(CapacityColumn.class);
-        CapacityRow named = new CapacityRow(CapacityRole.FLEET_OWNER, CapacityEvent.OUTAGE, none, 8, Double.NaN, "");
-        CapacityRow unnamed = new CapacityRow(CapacityRole.FLEET_OWNER, CapacityEvent.CALM, none, Double.NaN, 100, "");
-        CapacityRow carried = new CapacityRow(CapacityRole.FRONT, CapacityEvent.CALM, none, 8, 100, "");
-        assertEquals(List.of(named, unnamed, carried), Stream.of(carried, unnamed, named).sorted(CapacityRow.MOST_NEEDED_FIRST).toList());
+        CapacityRow withLimit = new CapacityRow(CapacityRole.FLEET_OWNER, CapacityEvent.OUTAGE, none, 8, Double.NaN, "");
+        CapacityRow withoutLimit = new CapacityRow(CapacityRole.FLEET_OWNER, CapacityEvent.CALM, none, Double.NaN, 100, "");
+        CapacityRow withMechanism = new CapacityRow(CapacityRole.FRONT, CapacityEvent.CALM, none, 8, 100, "");
+        assertEquals(List.of(withLimit, withoutLimit, withMechanism),
+            Stream.of(withMechanism, withoutLimit, withLimit).sorted(CapacityRow.BY_PRIORITY).toList());
     }
 
     @Test
-    void changeOfConfigurationIsShownBeforeAndAfterItsMechanism() {
+    void configurationChangeIsShownBeforeAndAfterItsMechanism() {
         String page = page(scale(920, "", figure("configuration", "change", "inForceAfter8s", "nodes", 0),
             figure("configuration", "change", "ofNodes", "nodes", 5), figure("configuration", "change", "changeSeconds", "s", 0.11),
             figure("configuration", "configuration-change", "inForceAfter8s", "nodes", 920),
@@ -90,7 +93,7 @@
     }
 
     @Test
-    void rowsOverTheirBudgetStandByTheirRatio() {
+    void rowsOverBudgetAreSortedByRatio() {
         String top = section(page(scale(920, "", figure("sidecar-mean", "calm", "cpuControl", "core-percent", 5.2),
             figure("sidecar-hottest", "calm", "cpuControl", "core-percent", 7.8),
             figure("front", "calm", "cpuControl", "core-percent", 2.5))), TOP);
@@ -101,7 +104,7 @@
     }
 
     @Test
-    void theRatioIsThatOfTheWorstOfItsNeeds() {
+    void ratioIsTheHighestOfAllColumns() {
         String front = calmFront(1_000, 500, 18_000);
         assertTrue(front.endsWith("| 0.750 (most bytes in 8 s) |"), front);
         String more = calmFront(2_500, 2_000, 18_000);
@@ -115,7 +118,7 @@
     }
 
     @Test
-    void anEventThatIsOverWithinSecondsIsHeldAgainstTheBytesOfEight() {
+    void shortEventIsComparedWithByteBudgetOfEightSeconds() {
         String front = line(section(page(scale(920, "", figure("front", "rack-loss", "bytesIn", "B/s", 50_000),
             figure("front", "rack-loss", "bytesOut", "B/s", 2_000), figure("front", "rack-loss", "worst8s", "B", 2_400))), "## Front node"),
             "| a rack is lost |");
@@ -123,7 +126,7 @@
     }
 
     @Test
-    void theDaysRestartsCountByTheDaysPace() {
+    void dailyRestartsAreAveragedOverTheDay() {
         String front = line(section(page(scale(920, "", figure("front", "calm", "bytesIn", "B/s", 100),
             figure("front", "calm", "bytesOut", "B/s", 50),
             figure("front", "restart", "bytesIn", "B/s", 8_740), figure("front", "restart", "bytesOut", "B/s", 50),
@@ -135,7 +138,7 @@
     }
 
     @Test
-    void processorTimeInAnEventIsCalmAndWhatItsChangesCostOverEightSecondsAtLeast() {
+    void cpuTimeOfEventIsCalmPlusListChangesAveragedOverAtLeastEightSeconds() {
         String slope = slope(400, "linear").replace("list-service.nodes.calls", "sidecar.changes.cpu").replace("calls/s", "core-percent");
         String front = line(section(page(scale(920, slope, figure("front", "calm", "cpuControl", "core-percent", 1),
             figure("front", "rack-loss", "differences", "lists", 16), figure("list-service", "rack-loss", "seconds", "s", 0.5))),
@@ -145,7 +148,7 @@
     }
 
     @Test
-    void aSlopeSaysWhatItRestsOnAndWhatIsBeyondTwiceTheLargestSizeIsExtrapolated() {
+    void slopeShowsItsSizesAndIsExtrapolatedBeyondTwiceTheLargest() {
         assertTrue(calmCalls(slope(400, "linear")).contains("(extrapolated)"));
         assertTrue(calmCalls(slope(460, "linear")).contains("462 calls/s (slope)"));
         assertTrue(section(page(scale(100, slope(400, "linear"))), "## List service")
@@ -156,14 +159,14 @@
     }
 
     @Test
-    void aRowThatIsNoLineGivesNoFigureBeyondItsSizes() {
+    void nonLinearSlopeIsNotUsedForOtherSizes() {
         String calls = calmCalls(slope(460, "not-linear"));
         assertTrue(calls.contains("| not measured |") && !calls.contains("462"), calls);
         assertTrue(section(page(scale(100, slope(460, "not-linear"))), "## Slopes").contains("**not linear**"));
     }
 
     @Test
-    void whatWasMeasuredWithFewerNodesSaysSoAndTheLargestRunCounts() {
+    void smallerFleetIsMarkedAndLargestRunIsPreferred() {
         String smaller = scale(230, "", figure("front", "cold-start", "worst8s", "B", 5_000));
         assertTrue(line(section(page(smaller), "## Front node"), "| everything starts cold |").contains("5,000 B (at 230 nodes)"));
         String whole = scale(920, "", figure("front", "cold-start", "worst8s", "B", 6_000));
@@ -172,9 +175,9 @@
     }
 
     @Test
-    void addedTimeIsJudgedOnlyWhereItsRunCould() {
-        String judged = section(page(addedTime(0.54, 0.02, 1)), "## Time that a node adds to a call");
-        assertTrue(line(judged, "| 261 |").contains("| 1.50 |"), judged);
+    void addedTimeIsInconclusiveInNoisyRun() {
+        String conclusive = section(page(addedTime(0.54, 0.02, 1)), "## Time that a node adds to a call");
+        assertTrue(line(conclusive, "| 261 |").contains("| 1.50 |"), conclusive);
         String noisy = page(addedTime(0.54, 30, 2));
         assertTrue(line(section(noisy, "## Time that a node adds to a call"), "| 261 |").contains("| can't be judged here |"), noisy);
         assertTrue(line(section(noisy, "## Node beside a server, at the mean"), "| calm |").endsWith("| can't be judged here |"), noisy);
@@ -184,7 +187,7 @@
     }
 
     @Test
-    void theMachinesStateAndTheRunsVerdictsAreSaid() {
+    void machineDescriptionAndRunVerdictsAreShown() {
         String text = scale(100, "").replace("\"holds\":true", "\"holds\":false")
             .replace("\"checks\":[]", "\"checks\":[{\"row\":\"hollow.calls\",\"holds\":false}]");
         String page = pageOf("shared with builds", text);
@@ -193,7 +196,7 @@
     }
 
     @Test
-    void eachPackageThatIsNamedAsAMechanismIsThere() {
+    void packagesNamedAsMechanismExist() {
         for (CapacityRole role : CapacityRole.values()) {
             for (String name : role.packages()) {
                 assertTrue(Files.isDirectory(Path.of("src/main/java/onyxpaddle", name)), "no package " + name);
