--- a/src/main/java/onyxpaddle/drill/Boxes.java
+++ b/src/main/java/onyxpaddle/drill/Boxes.java
@@ -12,27 +12,29 @@
 import onyxpaddle.standin.ExecutionCounter;
 import onyxpaddle.standin.StandInServer;
 
-/** The boxes of all sites, and what lists should say of them. */
+/** The stand-in servers of all sites, with the start times that lists report for them. */
 final class Boxes implements AutoCloseable {
-    /** One box; a restart gives it a new port and a new start. */
+    /** A restart gives the box a new port and a new start time. */
     private final class Box {
         final String name;
         volatile StandInServer server;
-        /** Unix time in milliseconds; 0 for long ago. */
-        volatile long bornMs;
+        /** Unix time in milliseconds; 0 if the box has been warm from the beginning. */
+        volatile long startedAtMs;
 
         Box(String name) throws Exception {
             this.name = name;
             start(0);
         }
 
-        void start(long born) throws Exception {
-            bornMs = born;
-            server = new StandInServer(name, 0, ledger).delay(kind.takesMs(), kind.jitterMs()).slots(kind.atOnce(), kind.queue(), kind.drops())
+        void start(long startedMs) throws Exception {
+            startedAtMs = startedMs;
+            server = new StandInServer(name, 0, executionCounter).delay(settings.takesMs(), settings.jitterMs())
+                .slots(settings.atOnce(), settings.queue(), settings.drops())
                 .watcher(new StandInServer.Watcher() {
                     @Override
                     public void requestReceived(String effect, SocketAddress from) {
-                        history.add(Type.CAME, "id", String.valueOf(effect), "box", name, "node", callers.getOrDefault(from, "unknown"));
+                        history.add(Type.CAME, "id", String.valueOf(effect), "box", name,
+                            "node", nodesByConnection.getOrDefault(from, "unknown"));
                     }
 
                     @Override
@@ -40,20 +42,20 @@
                         history.add(Type.RAN, "id", String.valueOf(effect), "box", name);
                     }
                 });
-            history.add(Type.BOX_STARTED, "box", name, "persecond", Double.toString(kind.perSecond()), "cold",
-                Long.toString(born == 0 ? 0 : kind.coldMs()), "from", Double.toString(kind.coldFrom()));
+            history.add(Type.BOX_STARTED, "box", name, "persecond", Double.toString(settings.perSecond()), "cold",
+                Long.toString(startedMs == 0 ? 0 : settings.coldMs()), "from", Double.toString(settings.coldFrom()));
         }
     }
 
-    private final BoxSettings kind;
+    private final BoxSettings settings;
     private final History history;
-    private final ExecutionCounter ledger = new ExecutionCounter();
+    private final ExecutionCounter executionCounter = new ExecutionCounter();
     private final Map<String, Box> all = new LinkedHashMap<>();
-    /** Which node each connection to a box comes from. */
-    final Map<SocketAddress, String> callers = new ConcurrentHashMap<>();
+    /** The node behind each connection, by the local address of the relay's connection to the box. */
+    final Map<SocketAddress, String> nodesByConnection = new ConcurrentHashMap<>();
 
     Boxes(Drill drill, History history) throws Exception {
-        this.kind = drill.boxes();
+        this.settings = drill.boxes();
         this.history = history;
         for (String site : drill.siteNames()) {
             for (int i = 0; i < drill.sites().get(site).boxes(); i++) {
@@ -72,29 +74,29 @@
         return server == null ? null : server.address();
     }
 
-    long bornMs(String box) {
-        return all.get(box).bornMs;
+    long startedAtMs(String box) {
+        return all.get(box).startedAtMs;
     }
 
     void freeze(String box, boolean on) {
         all.get(box).server.frozen(on);
     }
 
-    /** It ends, and starts from nothing, cold. */
+    /** Closes the box and starts a new one, which is cold. */
     void restart(String box) throws Exception {
-        Box b = all.get(box);
-        b.server.close();
-        b.start(System.currentTimeMillis());
+        Box restarted = all.get(box);
+        restarted.server.close();
+        restarted.start(System.currentTimeMillis());
     }
 
-    /** Lets cold boxes work as fast as they can by now: the part of their capacity rises evenly while they are cold. */
-    void warm() {
+    /** Sets the service time of cold boxes for their age: the available fraction of capacity rises linearly until a box is warm. */
+    void updateColdSpeed() {
         long now = System.currentTimeMillis();
         for (Box b : all.values()) {
-            if (b.bornMs > 0) {
-                double age = kind.coldMs() == 0 ? 1 : Math.min(1, (double) (now - b.bornMs) / kind.coldMs());
-                double part = kind.coldFrom() + (1 - kind.coldFrom()) * age;
-                b.server.delay(Math.round(kind.takesMs() / part), Math.round(kind.jitterMs() / part));
+            if (b.startedAtMs > 0) {
+                double age = settings.coldMs() == 0 ? 1 : Math.min(1, (double) (now - b.startedAtMs) / settings.coldMs());
+                double fraction = settings.coldFrom() + (1 - settings.coldFrom()) * age;
+                b.server.delay(Math.round(settings.takesMs() / fraction), Math.round(settings.jitterMs() / fraction));
             }
         }
     }
--- a/src/main/java/onyxpaddle/drill/ClientStatistics.java
+++ b/src/main/java/onyxpaddle/drill/ClientStatistics.java
@@ -8,18 +8,18 @@
 import java.util.Map;
 import onyxpaddle.drill.Drill.LoadClass;
 
-/** What clients got, by seconds of the load; a request counts in the second in which its first try came. */
+/** Results as clients saw them, per second of the load; a request counts in the second of its first attempt. */
 public final class ClientStatistics {
-    /** One second. Round latenciesMs in milliseconds, of what was served, sorted. */
-    public record Interval(int offered, int served, int withinAim, int refused, int failed, int turnedAway, double worthOffered, double worthServed,
-            double[] latenciesMs) {
-        /** In milliseconds; not a number where nothing was served. */
+    /** Counts of an interval; {@code latenciesMs} are those of served requests, sorted. */
+    public record Interval(int offered, int served, int withinAim, int refused, int failed, int turnedAway,
+            double worthOffered, double worthServed, double[] latenciesMs) {
+        /** A latency quantile in milliseconds; NaN if nothing was served. */
         public double quantile(double q) {
             return latenciesMs.length == 0 ? Double.NaN : latenciesMs[(int) Math.min(latenciesMs.length - 1, q * latenciesMs.length)];
         }
     }
 
-    /** Of one class. {@code refused}: tries, so that a client that comes again counts again. */
+    /** Totals of one class; {@code refused} counts attempts, so that each retry of a client counts. */
     public record ClassTotals(int offered, int withinAim, int refused) {
     }
 
@@ -41,54 +41,54 @@
     }
 
     private final List<Counts> seconds = new ArrayList<>();
-    private long begun;
+    private long startedAt;
 
     synchronized void begin(long now) {
-        begun = now;
+        startedAt = now;
     }
 
     private Counts at(long when) {
-        int second = (int) Math.max(0, (when - begun) / 1_000_000_000L);
+        int second = (int) Math.max(0, (when - startedAt) / 1_000_000_000L);
         while (seconds.size() <= second) {
             seconds.add(new Counts());
         }
         return seconds.get(second);
     }
 
-    synchronized void offered(LoadClass of) {
+    synchronized void offered(LoadClass loadClass) {
         Counts now = at(System.nanoTime());
         now.offered++;
-        now.worthOffered += of.worth();
-        now.of(of)[0]++;
+        now.worthOffered += loadClass.worth();
+        now.of(loadClass)[0]++;
     }
 
     synchronized void turnedAway() {
         at(System.nanoTime()).turnedAway++;
     }
 
-    /** A try ended; {@code status}: 0 where it had no answer. */
-    synchronized void ended(LoadClass of, long firstAt, int status) {
-        Counts then = at(firstAt);
+    /** Records the end of an attempt; {@code status} is 0 if there was no answer. */
+    synchronized void ended(LoadClass loadClass, long firstSentAt, int status) {
+        Counts counts = at(firstSentAt);
         if (status == 200) {
-            double ms = (System.nanoTime() - firstAt) / 1e6;
-            if (then.served == then.latenciesMs.length) {
-                then.latenciesMs = Arrays.copyOf(then.latenciesMs, 2 * then.served);
+            double ms = (System.nanoTime() - firstSentAt) / 1e6;
+            if (counts.served == counts.latenciesMs.length) {
+                counts.latenciesMs = Arrays.copyOf(counts.latenciesMs, 2 * counts.served);
             }
-            then.latenciesMs[then.served++] = ms;
-            if (ms <= of.aimMs()) {
-                then.withinAim++;
-                then.worthServed += of.worth();
-                then.of(of)[1]++;
+            counts.latenciesMs[counts.served++] = ms;
+            if (ms <= loadClass.aimMs()) {
+                counts.withinAim++;
+                counts.worthServed += loadClass.worth();
+                counts.of(loadClass)[1]++;
             }
         } else if (status == 503 || status == 429) {
-            then.refused++;
-            then.of(of)[2]++;
+            counts.refused++;
+            counts.of(loadClass)[2]++;
         } else {
-            then.failed++;
+            counts.failed++;
         }
     }
 
-    /** A class in the seconds from {@code from} on, up to {@code to}. */
+    /** Totals of a class for the seconds from {@code from} up to, but not including, {@code to}. */
     public synchronized ClassTotals classTotals(String name, int from, int to) {
         int[] sum = new int[3];
         for (Counts c : seconds.subList(Math.min(from, seconds.size()), Math.min(to, seconds.size()))) {
@@ -100,7 +100,7 @@
         return new ClassTotals(sum[0], sum[1], sum[2]);
     }
 
-    /** The seconds from {@code from} on, up to {@code to}, as one. */
+    /** The seconds from {@code from} up to, but not including, {@code to}, as one interval. */
     public synchronized Interval between(int from, int to) {
         Counts all = new Counts();
         double[] latenciesMs = {};
@@ -117,10 +117,11 @@
             System.arraycopy(c.latenciesMs, 0, latenciesMs, before, c.served);
         }
         Arrays.sort(latenciesMs);
-        return new Interval(all.offered, latenciesMs.length, all.withinAim, all.refused, all.failed, all.turnedAway, all.worthOffered, all.worthServed, latenciesMs);
+        return new Interval(all.offered, latenciesMs.length, all.withinAim, all.refused, all.failed, all.turnedAway,
+            all.worthOffered, all.worthServed, latenciesMs);
     }
 
-    /** A table, a line a second. */
+    /** A table with one line per second and a last line for all of them. */
     String table() {
         StringBuilder text = new StringBuilder("   s offered  served  in aim refused  failed  turned   p50 ms   p99 ms   worth\n");
         int count;
@@ -129,7 +130,8 @@
         }
         for (int i = 0; i <= count; i++) {
             Interval s = i < count ? between(i, i + 1) : between(0, count);
-            text.append(String.format(Locale.ROOT, "%4s %7d %7d %7d %7d %7d %7d %8.1f %8.1f %6.1f%%%n", i < count ? Integer.toString(i) : "all",
+            text.append(String.format(Locale.ROOT, "%4s %7d %7d %7d %7d %7d %7d %8.1f %8.1f %6.1f%%%n",
+                i < count ? Integer.toString(i) : "all",
                 s.offered(), s.served(), s.withinAim(), s.refused(), s.failed(), s.turnedAway(), s.quantile(0.5), s.quantile(0.99),
                 100 * s.worthServed() / Math.max(1e-9, s.worthOffered())));
         }
--- a/src/main/java/onyxpaddle/drill/Drill.java
+++ b/src/main/java/onyxpaddle/drill/Drill.java
@@ -3,113 +3,115 @@
 import java.util.List;
 import java.util.Map;
 
-/** What a drill plays: sites with nodes and boxes, the load, and a schedule of faults. Times in milliseconds from the load's begin. */
+/** A drill: sites with nodes and boxes, the load, and a schedule of faults. Times are milliseconds since the start of the load. */
 public record Drill(String name, long seed, long durationMs, Map<String, Site> sites, BoxSettings boxes, NodeSettings nodes,
         ListDelays lists, List<LoadClass> load, List<Fault> faults) {
-    /** How many node processes and boxes a site has, and its part of the load. */
+    /** The number of node processes and boxes of a site, and its share of the load. */
     public record Site(int nodes, int boxes, double share) {
     }
 
     /**
-     * What a box can do: {@code atOnce} requests, each in {@code takesMs} and up to {@code jitterMs} more, with {@code queue} more
-     * waiting; further ones it turns away unseen.
+     * The capacity of a box: {@code atOnce} concurrent requests, each taking {@code takesMs} plus up to {@code jitterMs}, and up to
+     * {@code queue} waiting requests; any more are refused without being processed.
      *
-     * @param drops whether one whose caller has gone while it waited is dropped, or is worked on all the same
-     * @param coldMs how long a box that has started counts as cold
-     * @param coldFrom the part of its capacity that it has at its start
+     * @param drops whether a queued request is dropped when its caller has disconnected; otherwise it is executed all the same
+     * @param coldMs how long a box is cold after its start
+     * @param coldFrom the fraction of its capacity that it has at its start
      */
     public record BoxSettings(int atOnce, long takesMs, long jitterMs, int queue, boolean drops, long coldMs, double coldFrom) {
-        /** Requests a second of a warm box. */
+        /** Throughput of a warm box, in requests per second. */
         double perSecond() {
             return atOnce * 1000.0 / (takesMs + jitterMs / 2.0);
         }
     }
 
     /**
-     * What nodes are told of limits and rules.
+     * The limits and rules in the configuration of nodes.
      *
-     * @param secondCopies whether a safe request that overstays may be sent once more
-     * @param plan whether they have a plan for the loss of sites, made from what the drill says of sites, boxes and load
+     * @param secondCopies whether a second copy of a slow safe request may be sent
+     * @param plan whether they have a plan for the loss of sites, computed from the sites, boxes and load of the drill
      */
-    public record NodeSettings(int attempts, boolean secondCopies, long drainGraceMs, double coldMultiple, long coldWindowMs, boolean plan) {
+    public record NodeSettings(int attempts, boolean secondCopies, long drainGraceMs, double coldMultiple, long coldWindowMs,
+            boolean plan) {
     }
 
-    /** How long lists stay behind what happens: {@code lostMs} for a box that is lost, {@code backMs} for one that is back. */
+    /** The delay until lists report that a box is gone ({@code lostMs}) and that it is back ({@code backMs}). */
     public record ListDelays(long lostMs, long backMs) {
     }
 
     /**
-     * A class of requests, {@code perSecond} over all sites. {@code retries}: by clients, under new ids, as told or at once; {@code floor}: the part of it that a
-     * plan serves before any worth.
+     * A class of requests, {@code perSecond} over all sites.
+     *
+     * @param retries retries by clients, under new ids, after the delay that the answer asks for or at once
+     * @param floor the fraction of it that a plan serves before it weighs any worth
      */
-    public record LoadClass(String name, Effect effect, double perSecond, long aimMs, long deadlineMs, double worth, int retries, double floor) {
+    public record LoadClass(String name, Effect effect, double perSecond, long aimMs, long deadlineMs, double worth, int retries,
+            double floor) {
     }
 
     /** What repeating a request of a class may do. */
     public enum Effect {
         SAFE("read_like"), UNSAFE("non_idempotent");
 
-        /** As the platform's settings word it. */
-        final String told;
+        /** The name in the settings of the platform. */
+        final String configName;
 
-        Effect(String told) {
-            this.told = told;
+        Effect(String configName) {
+            this.configName = configName;
         }
     }
 
-    /** The kinds of faults. */
     public enum Kind {
-        /** A node's process is killed, and started from nothing afterwards. */
+        /** A node's process is killed, and started afresh at the end of the fault. */
         KILL("node"),
-        /** A node's process stands still (SIGSTOP) and goes on with the next instruction. */
+        /** A node's process is suspended (SIGSTOP) and continues at the end of the fault. */
         STOP("node"),
-        /** All of a site: node processes killed, boxes silent; afterwards both start from nothing, boxes cold. */
+        /** Loss of a site: node processes are killed and boxes unreachable; at the end both start afresh, the boxes cold. */
         LOSE("site"),
         /** The links between two sites: see {@link Cut}. */
         CUT("link"),
-        /** A box is taken off the list by a drain, and put back. */
+        /** A box is listed as draining, and as ready again at the end. */
         DRAIN("box"),
-        /** A box stands still and goes on. */
+        /** A box stops answering for a while. */
         FREEZE("box"),
-        /** A box starts anew, cold. */
+        /** A box restarts and is cold. */
         RESTART("box"),
-        /** Times the load for a while. */
+        /** The load is multiplied by a factor for a while. */
         PUSH("load"),
-        /** ListDelays stand still, and tell all at once afterwards. */
+        /** Lists are not updated; all changes are reported at once at the end. */
         HUSH("lists");
 
-        /** What it hits, as the file's key. */
-        final String hits;
+        /** The type of its target: node, box, site, link, load or lists. */
+        final String targetType;
 
-        Kind(String hits) {
-            this.hits = hits;
+        Kind(String targetType) {
+            this.targetType = targetType;
         }
     }
 
-    /** How links are cut. */
     public enum Cut {
-        /** Nothing passes either way; what was held is let through at the end, late. */
+        /** Nothing passes in either direction; held data is delivered at the end. */
         SILENT,
-        /** Nothing passes from the first site to the second; answers still do. */
+        /** Nothing passes from the first site to the second; the opposite direction still works. */
         ONE_WAY,
-        /** As SILENT, and reset at the end. */
+        /** As SILENT, but connections are reset at the end. */
         SILENT_THEN_RESET,
         /** Connections are reset and new ones refused. */
         REFUSED,
-        /** All bytes come later by {@code size} milliseconds, and up to half as much more. */
+        /** All data is delayed by {@code size} milliseconds plus up to half of that. */
         DELAYED,
-        /** {@code size} KiB a second on each connection. */
+        /** Each connection is limited to {@code size} KiB per second. */
         SLOW
     }
 
     /**
-     * One fault.
+     * A scheduled fault.
      *
-     * @param atMs when it begins; counted from the moment that {@code afterServed} requests have been served, if that is not 0
+     * @param atMs when it begins; if {@code afterServed} is not 0, counted from the moment when that many requests have been served
      * @param forMs how long it lasts
      * @param target a node ({@code north/2}), a box ({@code north/s1}), a site, or two sites of a link
-     * @param cut of a link, else null
-     * @param size of a push its factor, of a cut as said there
+     * @param cut how the link is cut; null for other kinds
+     * @param size the load factor of a PUSH; for a cut, see {@link Cut}
      */
     public record Fault(Kind kind, long atMs, long afterServed, long forMs, List<String> target, Cut cut, double size) {
         public Fault {
@@ -129,24 +131,23 @@
         faults = List.copyOf(faults);
     }
 
-    /** As it is, with a plan for the loss of sites in its nodes, or without. */
+    /** A copy whose nodes have a plan for the loss of sites, or none. */
     public Drill withPlan(boolean plan) {
-        return new Drill(name, seed, durationMs, sites, boxes, new NodeSettings(nodes.attempts(), nodes.secondCopies(), nodes.drainGraceMs(), nodes.coldMultiple(),
-            nodes.coldWindowMs(), plan), lists, load, faults);
+        return new Drill(name, seed, durationMs, sites, boxes, new NodeSettings(nodes.attempts(), nodes.secondCopies(),
+            nodes.drainGraceMs(), nodes.coldMultiple(), nodes.coldWindowMs(), plan), lists, load, faults);
     }
 
-    /** As it is, with clients that try again so often. */
+    /** A copy with this number of retries by clients. */
     public Drill withRetries(int retries) {
-        return new Drill(name, seed, durationMs, sites, boxes, nodes, lists, load.stream().map(c -> new LoadClass(c.name(), c.effect(), c.perSecond(), c.aimMs(),
-            c.deadlineMs(), c.worth(), retries, c.floor())).toList(), faults);
+        return new Drill(name, seed, durationMs, sites, boxes, nodes, lists, load.stream().map(c -> new LoadClass(c.name(),
+            c.effect(), c.perSecond(), c.aimMs(), c.deadlineMs(), c.worth(), retries, c.floor())).toList(), faults);
     }
 
-    /** As it is, with another seed. */
     public Drill withSeed(long other) {
         return new Drill(name, other, durationMs, sites, boxes, nodes, lists, load, faults);
     }
 
-    /** The sites by name, in the order that numbers them. */
+    /** Site names in alphabetical order. */
     List<String> siteNames() {
         return sites.keySet().stream().sorted().toList();
     }
--- a/src/main/java/onyxpaddle/drill/DrillRun.java
+++ b/src/main/java/onyxpaddle/drill/DrillRun.java
@@ -28,15 +28,16 @@
 import onyxpaddle.drill.Drill.Fault;
 import onyxpaddle.drill.Event.Type;
 
-/** Plays a drill: starts the processes, the boxes, the lists and the links, then the load and the faults, and writes the history. */
+/** Runs a drill: starts node processes, boxes, lists and links, then the load and the faults, and writes the history. */
 public final class DrillRun implements AutoCloseable {
-    /** How long the front goes on dealing requests to a node that is dead or stands still. */
-    private static final long FRONT_NOTICES_MS = 1_000;
-    private static final long LONGEST_AFTER_MS = 120_000;
-    private static final long WARM_EVERY_MS = 100;
+    /** How long the front keeps sending requests to a node that is dead or suspended. */
+    private static final long FRONT_DETECTION_MS = 1_000;
+    private static final long MAX_OVERTIME_MS = 120_000;
+    private static final long POLL_MS = 100;
 
-    /** What came of a drill; {@code logs}: what each node wrote, all its processes one after the other. */
-    public record Outcome(HistoryCheck.Verdict verdict, ClientStatistics figures, String table, Map<String, Double> cpuSeconds, Map<String, String> logs) {
+    /** The result of a drill; {@code logs} is what each node wrote, over all its processes. */
+    public record Outcome(HistoryCheck.Verdict verdict, ClientStatistics figures, String table, Map<String, Double> cpuSeconds,
+            Map<String, String> logs) {
         public Outcome {
             logs = Map.copyOf(logs);
             cpuSeconds = Map.copyOf(cpuSeconds);
@@ -48,81 +49,83 @@
     private final Path folder = Files.createTempDirectory("drill");
     private final MultiThreadIoEventLoopGroup clients = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final MultiThreadIoEventLoopGroup links = new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
-    private final ScheduledExecutorService schedule = Executors.newScheduledThreadPool(8, task -> {
+    private final ScheduledExecutorService scheduler = Executors.newScheduledThreadPool(8, task -> {
         Thread thread = new Thread(task, "schedule");
         thread.setDaemon(true);
         return thread;
     });
     private final Boxes boxes;
     private final ListService lists;
-    private final LoadGenerator callers;
+    private final LoadGenerator loadGenerator;
     private final ClientStatistics figures = new ClientStatistics();
-    private final Map<String, Link> between = new HashMap<>();
-    private final Map<String, List<Relay>> ways = new HashMap<>();
-    /** What every node's environment says besides. */
-    private Map<String, String> told = Map.of();
+    private final Map<String, Link> linksBySites = new HashMap<>();
+    private final Map<String, List<Relay>> relaysByLink = new HashMap<>();
+    /** Additional environment variables of every node. */
+    private Map<String, String> environment = Map.of();
     private final Map<String, Path> configs = new LinkedHashMap<>();
     private final Map<String, ServeProcess> processes = new ConcurrentHashMap<>();
-    private final Set<String> away = ConcurrentHashMap.newKeySet();
+    private final Set<String> unavailable = ConcurrentHashMap.newKeySet();
     private final AtomicReference<Throwable> failed = new AtomicReference<>();
     private final AtomicLong served = new AtomicLong();
-    private final AtomicLong busy = new AtomicLong();
-    private final AtomicLong begun = new AtomicLong();
+    private final AtomicLong pendingSteps = new AtomicLong();
+    private final AtomicLong faultsBegun = new AtomicLong();
 
-    /** {@code file}: where the history goes, null for nowhere. */
+    /** Writes the history to {@code file}, or nowhere if it is null. */
     public DrillRun(Drill drill, Path file) throws Exception {
         this.drill = drill;
         this.history = new History(file);
-        history.add(Type.DRILL, "name", drill.name(), "seed", Long.toString(drill.seed()), "latest", Long.toString(latest()),
+        history.add(Type.DRILL, "name", drill.name(), "seed", Long.toString(drill.seed()), "latest", Long.toString(maxArrivalDelayMs()),
             "drain-grace", Long.toString(drill.nodes().drainGraceMs()), "cold-multiple", Double.toString(drill.nodes().coldMultiple()),
             "cold-window", Long.toString(drill.nodes().coldWindowMs()));
         this.boxes = new Boxes(drill, history);
         this.lists = new ListService(history);
-        this.callers = new LoadGenerator(drill, history, figures, clients.next());
+        this.loadGenerator = new LoadGenerator(drill, history, figures, clients.next());
     }
 
-    /** How much later than it set out a request may come to a box, by what the drill does to links and boxes. */
-    private long latest() {
-        long latest = 0;
+    /** The longest time that the drill's faults of links and boxes can delay a request on its way to a box. */
+    private long maxArrivalDelayMs() {
+        long max = 0;
         for (Fault f : drill.faults()) {
-            boolean holds = f.cut() == Cut.SILENT || f.cut() == Cut.ONE_WAY || f.kind() == Drill.Kind.FREEZE || f.kind() == Drill.Kind.LOSE;
-            latest = Math.max(latest, holds ? f.forMs() : f.cut() == Cut.DELAYED ? (long) (1.5 * f.size()) : f.cut() == Cut.SLOW ? drill.durationMs() : 0);
+            boolean holds = f.cut() == Cut.SILENT || f.cut() == Cut.ONE_WAY || f.kind() == Drill.Kind.FREEZE
+                || f.kind() == Drill.Kind.LOSE;
+            max = Math.max(max, holds ? f.forMs() : f.cut() == Cut.DELAYED ? (long) (1.5 * f.size())
+                : f.cut() == Cut.SLOW ? drill.durationMs() : 0);
         }
-        return latest;
+        return max;
     }
 
-    /** Plays all of it. */
     public Outcome play() throws Exception {
-        startAll();
-        schedule.scheduleWithFixedDelay(boxes::warm, WARM_EVERY_MS, WARM_EVERY_MS, TimeUnit.MILLISECONDS);
+        startNodes();
+        scheduler.scheduleWithFixedDelay(boxes::updateColdSpeed, POLL_MS, POLL_MS, TimeUnit.MILLISECONDS);
         Map<Long, List<Fault>> waiting = drill.faults().stream().collect(Collectors.groupingBy(Fault::afterServed));
-        history.watch(event -> {
+        history.addListener(event -> {
             if (event.type() == Type.ANSWERED && event.get("status").equals("200")) {
-                waiting.getOrDefault(served.incrementAndGet(), List.of()).forEach(this::plan);
+                waiting.getOrDefault(served.incrementAndGet(), List.of()).forEach(this::schedule);
             }
         });
-        Future<Void> load = callers.play();
-        waiting.getOrDefault(0L, List.of()).forEach(this::plan);
-        long most = drill.durationMs() + LONGEST_AFTER_MS;
+        Future<Void> load = loadGenerator.start();
+        waiting.getOrDefault(0L, List.of()).forEach(this::schedule);
+        long timeoutMs = drill.durationMs() + MAX_OVERTIME_MS;
         try {
-            load.get(most, TimeUnit.MILLISECONDS);
+            load.get(timeoutMs, TimeUnit.MILLISECONDS);
         } catch (TimeoutException e) {
-            throw new IOException("the load was not over within " + most + " ms", e);
+            throw new IOException("the load did not end within " + timeoutMs + " ms", e);
         }
-        while (busy.get() > 0 && failed.get() == null) {
-            TimeUnit.MILLISECONDS.sleep(WARM_EVERY_MS);
+        while (pendingSteps.get() > 0 && failed.get() == null) {
+            TimeUnit.MILLISECONDS.sleep(POLL_MS);
         }
         if (failed.get() != null) {
             throw new IOException("the schedule failed: " + failed.get(), failed.get());
         }
-        if (begun.get() < drill.faults().size()) {
-            // A drill whose faults did not happen proves nothing.
-            throw new IOException(drill.faults().size() - begun.get() + " faults never began, as only " + served.get() + " requests were served");
+        if (faultsBegun.get() < drill.faults().size()) {
+            // Without its faults a drill shows nothing, so that it must not pass.
+            throw new IOException(drill.faults().size() - faultsBegun.get()
+                + " faults never began, as only " + served.get() + " requests were served");
         }
         history.add(Type.HEALED);
         for (Map.Entry<String, ServeProcess> p : processes.entrySet()) {
             if (!p.getValue().call("GET /ready").startsWith("HTTP/1.1 200")) {
-                throw new IOException(p.getKey() + " does not say that it is ready, though all is healed: " + p.getValue().log());
+                throw new IOException(p.getKey() + " is not ready although all faults have ended: " + p.getValue().log());
             }
         }
         history.add(Type.END);
@@ -137,15 +140,15 @@
 
     // ---- start ----
 
-    private void startAll() throws Exception {
+    private void startNodes() throws Exception {
         boxes.names().forEach(box -> lists.set(box, "ready", 0));
         if (drill.nodes().plan()) {
-            told = Map.of("LUPINMOUNT_SITES", DrillPlan.write(drill, folder).toString());
+            environment = Map.of("LUPINMOUNT_SITES", DrillPlan.write(drill, folder).toString());
         }
         List<String> names = new ArrayList<>();
         for (String site : drill.siteNames()) {
             for (String to : drill.siteNames()) {
-                between.put(site + " " + to, new Link());
+                linksBySites.put(site + " " + to, new Link());
             }
             for (int i = 0; i < drill.sites().get(site).nodes(); i++) {
                 names.add(site + "/" + i);
@@ -153,16 +156,16 @@
         }
         for (String name : names) {
             var listen = ServeProcess.freePort();
-            Map<String, String> there = relays(name);
-            String known = lists.known(there);
-            var discovery = lists.door(name, there);
+            Map<String, String> relayAddresses = relays(name);
+            String known = lists.currentList(relayAddresses);
+            var discovery = lists.addNode(name, relayAddresses);
             Path config = folder.resolve(name.replace('/', '-') + ".json");
             Files.writeString(config, config(name, names, ServeProcess.hostPort(listen), ServeProcess.hostPort(discovery), known));
             configs.put(name, config);
-            callers.door(name, listen);
+            loadGenerator.addNode(name, listen);
         }
         List<Future<?>> starts = new ArrayList<>();
-        names.forEach(name -> starts.add(schedule.submit(() -> start(name))));
+        names.forEach(name -> starts.add(scheduler.submit(() -> start(name))));
         for (Future<?> start : starts) {
             start.get();
         }
@@ -172,15 +175,15 @@
     }
 
     private Map<String, String> relays(String node) throws InterruptedException {
-        Map<String, String> there = new HashMap<>();
+        Map<String, String> relayAddresses = new HashMap<>();
         for (String box : boxes.names()) {
             String link = site(node) + " " + site(box);
             EventLoop loop = links.next();
-            Relay relay = new Relay(loop, between.get(link), node, () -> boxes.address(box), boxes.callers);
-            ways.computeIfAbsent(link, l -> new ArrayList<>()).add(relay);
-            there.put(box, relay.address());
+            Relay relay = new Relay(loop, linksBySites.get(link), node, () -> boxes.address(box), boxes.nodesByConnection);
+            relaysByLink.computeIfAbsent(link, l -> new ArrayList<>()).add(relay);
+            relayAddresses.put(box, relay.address());
         }
-        return there;
+        return relayAddresses;
     }
 
     private static String site(String name) {
@@ -189,7 +192,8 @@
 
     private String config(String name, List<String> names, String listen, String discovery, String known) {
         String classes = drill.load().stream().map(c -> String.format(Locale.ROOT,
-            "{\"name\":\"%s\",\"effect\":\"%s\",\"aimS\":%.3f,\"deadlineS\":%.3f,\"worth\":%s}", c.name(), c.effect().told, c.aimMs() / 1e3,
+            "{\"name\":\"%s\",\"effect\":\"%s\",\"aimS\":%.3f,\"deadlineS\":%.3f,\"worth\":%s}",
+            c.name(), c.effect().configName, c.aimMs() / 1e3,
             c.deadlineMs() / 1e3, c.worth())).collect(Collectors.joining(","));
         String areas = drill.siteNames().stream().map(s -> '"' + s + '"').collect(Collectors.joining(","));
         return String.format(Locale.ROOT, """
@@ -207,11 +211,12 @@
         try {
             Path temporary = folder.resolve(name.replace('/', '-') + ".tmp");
             Files.createDirectories(temporary);
-            ServeProcess process = ServeProcess.start(configs.get(name), temporary, folder.resolve(name.replace('/', '-') + ".log"), told);
+            ServeProcess process = ServeProcess.start(configs.get(name), temporary, folder.resolve(name.replace('/', '-') + ".log"),
+                environment);
             processes.put(name, process);
             process.awaitReady();
             history.add(Type.NODE, "node", name, "state", "ready");
-            back(name);
+            restoreInFront(name);
         } catch (IOException | InterruptedException e) {
             failed.compareAndSet(null, e);
         }
@@ -224,21 +229,21 @@
     }
 
     private void after(long ms, Step step) {
-        busy.incrementAndGet();
-        schedule.schedule(() -> {
+        pendingSteps.incrementAndGet();
+        scheduler.schedule(() -> {
             try {
                 step.go();
             } catch (Exception e) {
                 failed.compareAndSet(null, e);
             } finally {
-                busy.decrementAndGet();
+                pendingSteps.decrementAndGet();
             }
         }, ms, TimeUnit.MILLISECONDS);
     }
 
-    private void plan(Fault fault) {
+    private void schedule(Fault fault) {
         after(fault.atMs(), () -> {
-            begun.incrementAndGet();
+            faultsBegun.incrementAndGet();
             history.add(Type.FAULT, "fault", fault.toString(), "state", "begins");
             begin(fault);
             after(fault.forMs(), () -> {
@@ -255,7 +260,7 @@
             case STOP -> {
                 processes.get(target).signal("STOP");
                 history.add(Type.NODE, "node", target, "state", "stopped");
-                frontNotices(target);
+                removeFromFrontLater(target);
             }
             case LOSE -> {
                 for (String node : configs.keySet()) {
@@ -263,24 +268,24 @@
                         kill(node);
                     }
                 }
-                drill.siteNames().forEach(site -> between.get(site + " " + target).cut(Cut.SILENT_THEN_RESET, 0));
-                after(drill.lists().lostMs(), () -> of(target).forEach(box -> tell(box, "gone")));
+                drill.siteNames().forEach(site -> linksBySites.get(site + " " + target).cut(Cut.SILENT_THEN_RESET, 0));
+                after(drill.lists().lostMs(), () -> boxesOf(target).forEach(box -> list(box, "gone")));
             }
             case CUT -> {
-                Link link = between.get(target + " " + fault.target().get(1));
+                Link link = linksBySites.get(target + " " + fault.target().get(1));
                 link.cut(fault.cut(), fault.size());
                 if (fault.cut() == Cut.REFUSED) {
                     reset(target, fault.target().get(1));
                 }
             }
-            case DRAIN -> tell(target, "draining");
+            case DRAIN -> list(target, "draining");
             case FREEZE -> boxes.freeze(target, true);
             case RESTART -> {
                 boxes.restart(target);
-                after(drill.lists().backMs(), () -> tell(target, "ready"));
+                after(drill.lists().backMs(), () -> list(target, "ready"));
             }
-            case PUSH -> callers.factor(fault.size());
-            case HUSH -> lists.hush(true);
+            case PUSH -> loadGenerator.loadFactor(fault.size());
+            case HUSH -> lists.freeze(true);
         }
     }
 
@@ -291,76 +296,76 @@
             case STOP -> {
                 history.add(Type.NODE, "node", target, "state", "continued");
                 processes.get(target).signal("CONT");
-                back(target);
+                restoreInFront(target);
             }
             case LOSE -> {
-                for (String box : of(target)) {
+                for (String box : boxesOf(target)) {
                     boxes.restart(box);
                 }
                 for (String site : drill.siteNames()) {
                     reset(site, target);
-                    between.get(site + " " + target).heal();
+                    linksBySites.get(site + " " + target).heal();
                 }
-                after(drill.lists().backMs(), () -> of(target).forEach(box -> tell(box, "ready")));
+                after(drill.lists().backMs(), () -> boxesOf(target).forEach(box -> list(box, "ready")));
                 configs.keySet().stream().filter(node -> site(node).equals(target)).forEach(node -> after(0, () -> start(node)));
             }
             case CUT -> {
-                Link link = between.get(target + " " + fault.target().get(1));
+                Link link = linksBySites.get(target + " " + fault.target().get(1));
                 if (fault.cut() == Cut.SILENT_THEN_RESET) {
                     reset(target, fault.target().get(1));
                 }
                 link.heal();
             }
-            case DRAIN -> tell(target, "ready");
+            case DRAIN -> list(target, "ready");
             case FREEZE -> boxes.freeze(target, false);
             case RESTART -> { }
-            case PUSH -> callers.factor(1);
-            case HUSH -> lists.hush(false);
+            case PUSH -> loadGenerator.loadFactor(1);
+            case HUSH -> lists.freeze(false);
         }
     }
 
-    private List<String> of(String site) {
+    private List<String> boxesOf(String site) {
         return boxes.names().stream().filter(box -> site(box).equals(site)).toList();
     }
 
-    private void tell(String box, String state) {
-        lists.set(box, state, boxes.bornMs(box));
+    private void list(String box, String state) {
+        lists.set(box, state, boxes.startedAtMs(box));
     }
 
     private void reset(String from, String to) {
-        ways.getOrDefault(from + " " + to, List.of()).forEach(Relay::reset);
+        relaysByLink.getOrDefault(from + " " + to, List.of()).forEach(Relay::reset);
     }
 
     private void kill(String node) throws InterruptedException {
-        // Written before it is done: what the node has open may end at once.
+        // Recorded before the kill, because the node's open requests may end at once.
         history.add(Type.NODE, "node", node, "state", "killed");
         processes.get(node).kill();
-        frontNotices(node);
+        removeFromFrontLater(node);
     }
 
-    /** The front deals nothing to it any more, once it has noticed; not if the node is back by then. */
-    private void frontNotices(String node) {
-        away.add(node);
-        after(FRONT_NOTICES_MS, () -> {
-            if (away.contains(node)) {
-                callers.up(node, false);
+    /** Takes the node out of the front after the detection delay, unless it is back by then. */
+    private void removeFromFrontLater(String node) {
+        unavailable.add(node);
+        after(FRONT_DETECTION_MS, () -> {
+            if (unavailable.contains(node)) {
+                loadGenerator.setUp(node, false);
             }
         });
     }
 
-    private void back(String node) {
-        away.remove(node);
-        callers.up(node, true);
+    private void restoreInFront(String node) {
+        unavailable.remove(node);
+        loadGenerator.setUp(node, true);
     }
 
     @Override
     public void close() throws IOException {
-        schedule.shutdownNow();
+        scheduler.shutdownNow();
         for (ServeProcess p : processes.values()) {
             p.process().destroyForcibly().onExit().join();
         }
         lists.close();
-        ways.values().forEach(relays -> relays.forEach(Relay::close));
+        relaysByLink.values().forEach(relays -> relays.forEach(Relay::close));
         boxes.close();
         clients.shutdownGracefully(0, 1, TimeUnit.SECONDS);
         links.shutdownGracefully(0, 1, TimeUnit.SECONDS);
--- a/src/main/java/onyxpaddle/drill/Event.java
+++ b/src/main/java/onyxpaddle/drill/Event.java
@@ -3,41 +3,40 @@
 import java.util.Map;
 
 /**
- * One line of a history.
+ * An event, which is one line of a history.
  *
- * @param n the count of lines, which grows by one: what was seen before has the lower one
- * @param ms since the drill's begin, by the clock of the process that plays it
+ * @param n the line number; events are numbered in the order in which they were observed
+ * @param ms milliseconds since the start of the drill, by the clock of the process that runs it
  * @param type see {@link Type}
- * @param more about it, by name
+ * @param more attributes by name
  */
 public record Event(long n, long ms, Type type, Map<String, String> more) {
-    /** What can happen. */
     public enum Type {
-        /** The first line: what the drill promises its processes, from which the checks take their bounds. */
+        /** The first line: the settings of the drill from which the checks derive their bounds. */
         DRILL,
-        /** A client has written a request's last byte to a connection that a node accepted: {@code id, class, effect, node, deadline}. */
+        /** A client has written a whole request to a connection that a node accepted: {@code id, class, effect, node, deadline}. */
         SENT,
-        /** It has a whole answer: {@code id, status, by} (the box that the answer names). */
+        /** The client has received a complete answer: {@code id, status, by} (the box that the answer names). */
         ANSWERED,
-        /** Its connection ended with no whole answer: {@code id}. */
+        /** The connection ended without a complete answer: {@code id}. */
         BROKEN,
-        /** The client has waited long past the deadline, and leaves: {@code id}. */
+        /** The client gave up long after the deadline: {@code id}. */
         UNANSWERED,
-        /** A connection was refused, or ended before the request was written: {@code id, node}; the request was never taken. */
+        /** A connection was refused, or ended before the request was written: {@code id, node}; the node never accepted the request. */
         TURNED_AWAY,
-        /** A request has come to a box whole: {@code id, box, node}. */
+        /** A box has received a complete request: {@code id, box, node}. */
         CAME,
-        /** A box runs it: {@code id, box}. */
+        /** A box executes a request: {@code id, box}. */
         RAN,
-        /** A box starts: {@code box, persecond} when warm, {@code cold} ms, {@code from} its part at first. */
+        /** A box starts: {@code box, persecond} (capacity when warm), {@code cold} (ms), {@code from} (initial fraction of capacity). */
         BOX_STARTED,
-        /** A list has been written to a node: {@code node, box, state}. */
+        /** A list sent to a node reports a box: {@code node, box, state}. */
         TOLD,
-        /** A node's process: {@code node}, and what became of it in {@code state}: ready, killed, stopped, continued. */
+        /** The process of {@code node} changes to {@code state}: ready, killed, stopped or continued. */
         NODE,
         /** A fault begins or ends: {@code fault, state}. */
         FAULT,
-        /** The load has ended and all is healed; what comes after has to be sound. */
+        /** The load and all faults have ended; every node has to be ready from here on. */
         HEALED,
         /** The last line. */
         END
--- a/src/main/java/onyxpaddle/drill/History.java
+++ b/src/main/java/onyxpaddle/drill/History.java
@@ -20,28 +20,28 @@
 import java.util.function.Consumer;
 import onyxpaddle.drill.Event.Type;
 
-/** All that happened in a drill, in the order in which the drill saw it; a file of one JSON object a line. */
+/** The events of a drill in the order in which they were observed; stored as a file with one JSON object per line. */
 public final class History implements AutoCloseable {
-    /** Some 150 bytes each: what is kept in memory, too. */
-    static final int MOST = 3_000_000;
+    /** About 150 bytes each; a limit, because they are also kept in memory. */
+    static final int MAX_EVENTS = 3_000_000;
     private static final JsonFactory JSON = new JsonFactory();
 
     private final List<Event> events = new ArrayList<>();
-    private final List<Consumer<Event>> watchers = new CopyOnWriteArrayList<>();
+    private final List<Consumer<Event>> listeners = new CopyOnWriteArrayList<>();
     private final Writer file;
-    private final long begin = System.nanoTime();
+    private final long startedAt = System.nanoTime();
 
-    /** {@code file}: null for one that is kept in memory alone. */
+    /** Writes to {@code file}; if it is null, the history is only kept in memory. */
     History(Path file) throws IOException {
         this.file = file == null ? null : Files.newBufferedWriter(file);
     }
 
-    /** Told each event, on the thread on which it happens. */
-    void watch(Consumer<Event> watcher) {
-        watchers.add(watcher);
+    /** Adds a listener, which is called for each event on the thread that adds the event. */
+    void addListener(Consumer<Event> listener) {
+        listeners.add(listener);
     }
 
-    /** Writes an event down; {@code more}: names and values in turn. */
+    /** Appends an event; {@code more} alternates names and values. */
     void add(Type type, String... more) {
         Map<String, String> pairs = new HashMap<>();
         for (int i = 0; i < more.length; i += 2) {
@@ -49,16 +49,16 @@
         }
         Event event;
         synchronized (this) {
-            if (events.size() >= MOST) {
-                throw new IllegalStateException("a history holds " + MOST + " events at most: a shorter drill, or less load");
+            if (events.size() >= MAX_EVENTS) {
+                throw new IllegalStateException("a history holds " + MAX_EVENTS + " events at most; shorten the drill or lower its load");
             }
-            event = new Event(events.size() + 1, (System.nanoTime() - begin) / 1_000_000, type, pairs);
+            event = new Event(events.size() + 1, (System.nanoTime() - startedAt) / 1_000_000, type, pairs);
             events.add(event);
             if (file != null) {
                 write(event);
             }
         }
-        watchers.forEach(w -> w.accept(event));
+        listeners.forEach(l -> l.accept(event));
     }
 
     private void write(Event event) {
@@ -90,24 +90,26 @@
         }
     }
 
-    /** A history that was written before; an error names the line. */
+    /** Reads a history file; an error names the line. */
     public static List<Event> read(Path path) throws IOException {
         List<Event> events = new ArrayList<>();
         try (BufferedReader lines = Files.newBufferedReader(path, StandardCharsets.UTF_8)) {
             for (String line = lines.readLine(); line != null; line = lines.readLine()) {
                 int number = events.size() + 1;
-                if (number > MOST) {
-                    throw new IOException(path + ":" + number + ": more than " + MOST + " lines; give the history of one drill");
+                if (number > MAX_EVENTS) {
+                    throw new IOException(path + ":" + number + ": more than " + MAX_EVENTS + " lines; give the history of one drill");
                 }
                 Event event;
                 try {
                     event = event(line);
                 } catch (IOException | IllegalArgumentException e) {
-                    throw new IOException(path + ":" + number + ": is no line of a history: " + String.valueOf(e.getMessage()).lines().findFirst().orElse("")
+                    throw new IOException(path + ":" + number + ": is not a line of a history: "
+                        + String.valueOf(e.getMessage()).lines().findFirst().orElse("")
                         + "; give a file that `drill run --history` wrote");
                 }
                 if (event.n() != number) {
-                    throw new IOException(path + ":" + number + ": n: is " + event.n() + ", so lines are missing or twice; give the file as it was written");
+                    throw new IOException(path + ":" + number + ": n: is " + event.n()
+                        + ", so lines are missing or repeated; give the file as it was written");
                 }
                 events.add(event);
             }
@@ -124,14 +126,14 @@
             while (p.nextToken() != JsonToken.END_OBJECT) {
                 String name = p.currentName();
                 if (!p.nextToken().isScalarValue()) {
-                    throw new IOException(name + " is no plain value");
+                    throw new IOException(name + " is not a scalar value");
                 }
                 pairs.put(name, p.getText());
             }
         }
-        for (String needed : List.of("n", "ms", "what")) {
-            if (!pairs.containsKey(needed)) {
-                throw new IOException("no " + needed);
+        for (String required : List.of("n", "ms", "what")) {
+            if (!pairs.containsKey(required)) {
+                throw new IOException("missing field " + required);
             }
         }
         long n = Long.parseLong(pairs.remove("n"));
--- a/src/main/java/onyxpaddle/drill/ListService.java
+++ b/src/main/java/onyxpaddle/drill/ListService.java
@@ -15,49 +15,48 @@
 import onyxpaddle.drill.Event.Type;
 
 /**
- * The lists of servers that nodes are told: the platform's discovery by its protocol, an address for each node, as the way to
- * a box is another one for each. A watch is answered as soon as there is something new.
+ * Serves lists of servers to the nodes, by the protocol of the platform's discovery. Each node has an address of its own, because it
+ * reaches each box through a relay of its own. A watch is answered as soon as there is a change.
  */
 final class ListService implements AutoCloseable {
-    private static final long LONGEST_WATCH_MS = 1_000;
+    private static final long MAX_WATCH_MS = 1_000;
 
-    /** What a list says of a box. */
-    private record Line(String state, long bornMs) {
+    private record Entry(String state, long startedAtMs) {
     }
 
     private final History history;
-    private final ExecutorService calls = Executors.newCachedThreadPool(task -> {
+    private final ExecutorService executor = Executors.newCachedThreadPool(task -> {
         Thread thread = new Thread(task, "list");
         thread.setDaemon(true);
         return thread;
     });
-    private final List<HttpServer> doors = new ArrayList<>();
-    private final Map<String, Line> lines = new HashMap<>();
-    /** The lines as they were at each version, from 1 on. */
-    private final List<Map<String, Line>> versions = new ArrayList<>();
-    private boolean hushed;
+    private final List<HttpServer> servers = new ArrayList<>();
+    private final Map<String, Entry> entries = new HashMap<>();
+    /** The entries of each version, from version 1 on. */
+    private final List<Map<String, Entry>> versions = new ArrayList<>();
+    private boolean frozen;
 
     ListService(History history) {
         this.history = history;
     }
 
-    /** An address for a node; {@code ways}: where it reaches each box. */
-    InetSocketAddress door(String node, Map<String, String> ways) throws IOException {
-        HttpServer door = HttpServer.create(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0), 0);
-        door.setExecutor(calls);
-        door.createContext("/v1/endpoints", exchange -> {
+    /** Opens a listening address for a node; {@code relayAddresses} has the address of its relay to each box. */
+    InetSocketAddress addNode(String node, Map<String, String> relayAddresses) throws IOException {
+        HttpServer server = HttpServer.create(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0), 0);
+        server.setExecutor(executor);
+        server.createContext("/v1/endpoints", exchange -> {
             try {
-                answer(exchange, node, ways);
+                answer(exchange, node, relayAddresses);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
         });
-        door.start();
-        doors.add(door);
-        return door.getAddress();
+        server.start();
+        servers.add(server);
+        return server.getAddress();
     }
 
-    private void answer(HttpExchange exchange, String node, Map<String, String> ways) throws IOException, InterruptedException {
+    private void answer(HttpExchange exchange, String node, Map<String, String> relayAddresses) throws IOException, InterruptedException {
         Map<String, Long> query = new HashMap<>();
         String text = exchange.getRequestURI().getQuery();
         for (String pair : text == null ? new String[0] : text.split("&")) {
@@ -67,63 +66,64 @@
             }
         }
         long after = query.getOrDefault("after", -1L);
-        long wait = Math.min(LONGEST_WATCH_MS, query.getOrDefault("wait_ms", 0L));
+        long wait = Math.min(MAX_WATCH_MS, query.getOrDefault("wait_ms", 0L));
         String list;
-        Map<String, Line> told = new HashMap<>();
+        Map<String, Entry> changes = new HashMap<>();
         synchronized (this) {
             long until = System.nanoTime() + wait * 1_000_000;
-            for (long left = wait; (hushed || after >= 0 && versions.size() <= after) && left > 0; left = (until - System.nanoTime()) / 1_000_000) {
+            for (long left = wait; (frozen || after >= 0 && versions.size() <= after) && left > 0;
+                    left = (until - System.nanoTime()) / 1_000_000) {
                 wait(left);
             }
-            int version = hushed && after >= 0 ? (int) after : versions.size();
+            int version = frozen && after >= 0 ? (int) after : versions.size();
             boolean whole = after < 1 || after > versions.size();
-            Map<String, Line> before = whole ? Map.of() : versions.get((int) after - 1);
-            Map<String, Line> now = version == 0 ? Map.of() : versions.get(version - 1);
-            now.forEach((box, line) -> {
-                if (!line.equals(before.get(box)) && (!whole || !line.state().equals("gone"))) {
-                    told.put(box, line);
+            Map<String, Entry> before = whole ? Map.of() : versions.get((int) after - 1);
+            Map<String, Entry> now = version == 0 ? Map.of() : versions.get(version - 1);
+            now.forEach((box, entry) -> {
+                if (!entry.equals(before.get(box)) && (!whole || !entry.state().equals("gone"))) {
+                    changes.put(box, entry);
                 }
             });
-            list = "{\"seq\":" + version + ",\"whole\":" + whole + ",\"hosts\":" + hosts(told, ways) + "}";
+            list = "{\"seq\":" + version + ",\"whole\":" + whole + ",\"hosts\":" + hosts(changes, relayAddresses) + "}";
         }
         byte[] bytes = list.getBytes(StandardCharsets.US_ASCII);
         exchange.sendResponseHeaders(200, bytes.length);
         exchange.getResponseBody().write(bytes);
         exchange.close();
-        told.forEach((box, line) -> history.add(Type.TOLD, "node", node, "box", box, "state", line.state()));
+        changes.forEach((box, entry) -> history.add(Type.TOLD, "node", node, "box", box, "state", entry.state()));
     }
 
-    private static String hosts(Map<String, Line> told, Map<String, String> ways) {
+    private static String hosts(Map<String, Entry> changes, Map<String, String> relayAddresses) {
         List<String> hosts = new ArrayList<>();
-        new java.util.TreeMap<>(told).forEach((box, line) -> hosts.add(
+        new java.util.TreeMap<>(changes).forEach((box, entry) -> hosts.add(
             "{\"host\":\"%s\",\"dial\":\"%s\",\"site\":\"%s\",\"health\":\"%s\",\"share\":1.0,\"born_ms\":%d}".formatted(box.replace('/', '-'),
-                ways.get(box), box.substring(0, box.indexOf('/')), line.state(), line.bornMs())));
+                relayAddresses.get(box), box.substring(0, box.indexOf('/')), entry.state(), entry.startedAtMs())));
         return "[" + String.join(",", hosts) + "]";
     }
 
-    /** The whole list as it is now, as a configuration has it. */
-    synchronized String known(Map<String, String> ways) {
-        Map<String, Line> here = new HashMap<>(lines);
-        here.values().removeIf(line -> line.state().equals("gone"));
-        return "{\"seq\":" + versions.size() + ",\"whole\":true,\"hosts\":" + hosts(here, ways) + "}";
+    /** The current list in full, in the form of the node's configuration. */
+    synchronized String currentList(Map<String, String> relayAddresses) {
+        Map<String, Entry> present = new HashMap<>(entries);
+        present.values().removeIf(entry -> entry.state().equals("gone"));
+        return "{\"seq\":" + versions.size() + ",\"whole\":true,\"hosts\":" + hosts(present, relayAddresses) + "}";
     }
 
-    /** What is told of a box from now on. */
-    synchronized void set(String box, String state, long bornMs) {
-        lines.put(box, new Line(state, bornMs));
-        versions.add(Map.copyOf(lines));
+    /** Sets the state of a box in the list and wakes watches. */
+    synchronized void set(String box, String state, long startedAtMs) {
+        entries.put(box, new Entry(state, startedAtMs));
+        versions.add(Map.copyOf(entries));
         notifyAll();
     }
 
-    /** ListDelays stand still, or tell again. */
-    synchronized void hush(boolean on) {
-        hushed = on;
+    /** Stops or resumes updates; changes made meanwhile are reported when updates resume. */
+    synchronized void freeze(boolean on) {
+        frozen = on;
         notifyAll();
     }
 
     @Override
     public void close() {
-        doors.forEach(d -> d.stop(0));
-        calls.shutdownNow();
+        servers.forEach(s -> s.stop(0));
+        executor.shutdownNow();
     }
 }
--- a/src/main/java/onyxpaddle/drill/LoadGenerator.java
+++ b/src/main/java/onyxpaddle/drill/LoadGenerator.java
@@ -35,158 +35,158 @@
 import onyxpaddle.drill.Event.Type;
 
 /**
- * Clients of all sites: an open load, which does not wait for answers, through a front that deals requests out among the
- * nodes of a site and after a while notices those that are dead. Everything happens on one loop.
+ * Generates the load of all sites' clients: an open-loop load, which does not wait for answers, sent through a simulated front that
+ * spreads requests over the nodes of a site and takes out dead nodes after a delay. Runs on a single event loop.
  */
 final class LoadGenerator {
-    private static final long AGENDA_MS = 1;
-    /** A connection that has stood idle for longer is not used again: a node may be about to close it. */
-    private static final long FRESH_NS = 3_000_000_000L;
+    private static final long TICK_MS = 1;
+    /** A connection that has been idle for longer is not reused, because the node may be about to close it. */
+    private static final long MAX_IDLE_NS = 3_000_000_000L;
     /**
-     * Beyond this the callers' own loop was late, and what it holds of connections is old news: it lets go of those that
-     * no request is on. Guards against a busy machine, on which a node closes what seems to it to have stood silent, just as
-     * a late caller writes; the protocol lets such a request be sent once more, so nothing of it is the node's.
+     * If the load generator's own loop was delayed by more than this, it closes its idle connections. On a busy machine a node may close
+     * a connection as idle just when the delayed client writes to it. HTTP allows such a request to be sent again, so it must not count
+     * against the node.
      */
-    private static final long OWN_DELAY_NS = 500_000_000L;
-    /** How long past its deadline a request is waited for. */
-    private static final long LONGEST_MS = 20_000;
-    private static final int LARGEST = 1 << 20;
-    private static final long MOST_PUT_OFF_MS = 5_000;
+    private static final long LOOP_DELAY_LIMIT_NS = 500_000_000L;
+    /** How long after its deadline a request still waits for an answer. */
+    private static final long ANSWER_TIMEOUT_MS = 20_000;
+    private static final int MAX_RESPONSE_BYTES = 1 << 20;
+    private static final long MAX_RETRY_DELAY_MS = 5_000;
 
-    /** A node as the front sees it. */
-    private final class Door {
+    /** A node from the point of view of the front. */
+    private final class FrontNode {
         final String name;
         final String site;
-        final ArrayDeque<Idle> idle = new ArrayDeque<>();
+        final ArrayDeque<IdleConnection> idle = new ArrayDeque<>();
         InetSocketAddress address;
         boolean up;
 
-        Door(String name, InetSocketAddress address) {
+        FrontNode(String name, InetSocketAddress address) {
             this.name = name;
             this.site = name.substring(0, name.indexOf('/'));
             this.address = address;
         }
     }
 
-    private record Idle(Channel channel, long since) {
+    private record IdleConnection(Channel channel, long since) {
     }
 
-    /** One try; a further one of the same client has the same beginning. */
-    private final class Try {
+    /** One attempt of a client; a retry keeps the time of the first attempt. */
+    private final class Attempt {
         final String id;
-        final LoadClass of;
+        final LoadClass loadClass;
         final String site;
-        final long firstAt;
+        final long firstSentAt;
         final int retriesLeft;
-        Door door;
+        FrontNode node;
         boolean sent;
         boolean over;
 
-        Try(String id, LoadClass of, String site, long firstAt, int retriesLeft) {
+        Attempt(String id, LoadClass loadClass, String site, long firstSentAt, int retriesLeft) {
             this.id = id;
-            this.of = of;
+            this.loadClass = loadClass;
             this.site = site;
-            this.firstAt = firstAt;
+            this.firstSentAt = firstSentAt;
             this.retriesLeft = retriesLeft;
         }
     }
 
-    private record Due(long at, Runnable what) {
+    private record ScheduledTask(long at, Runnable action) {
     }
 
     private final Drill drill;
     private final History history;
-    private final ClientStatistics figures;
+    private final ClientStatistics statistics;
     private final EventLoop loop;
     private final SplittableRandom random;
-    private final List<Door> doors = new ArrayList<>();
-    private final PriorityQueue<Due> agenda = new PriorityQueue<>(Comparator.comparingLong(Due::at));
-    private double factor = 1;
-    private long count;
+    private final List<FrontNode> nodes = new ArrayList<>();
+    private final PriorityQueue<ScheduledTask> tasks = new PriorityQueue<>(Comparator.comparingLong(ScheduledTask::at));
+    private double loadFactor = 1;
+    private long requestCount;
     private long open;
-    private long begun;
+    private long startedAt;
     private long until;
-    private long ticked = System.nanoTime();
+    private long lastTick = System.nanoTime();
 
-    LoadGenerator(Drill drill, History history, ClientStatistics figures, EventLoop loop) {
+    LoadGenerator(Drill drill, History history, ClientStatistics statistics, EventLoop loop) {
         this.drill = drill;
         this.history = history;
-        this.figures = figures;
+        this.statistics = statistics;
         this.loop = loop;
         this.random = new SplittableRandom(drill.seed());
     }
 
-    /** A node that the front knows; it is dealt requests from {@link #up} on. */
-    void door(String node, InetSocketAddress address) {
-        loop.execute(() -> doors.add(new Door(node, address)));
+    /** Adds a node to the front; it receives requests once {@link #setUp} has marked it as up. */
+    void addNode(String node, InetSocketAddress address) {
+        loop.execute(() -> nodes.add(new FrontNode(node, address)));
     }
 
-    /** The front deals out requests to it from now on, or no longer. */
-    void up(String node, boolean on) {
-        loop.execute(() -> doors.stream().filter(d -> d.name.equals(node)).forEach(d -> {
-            d.up = on;
+    /** Includes the node in the front's selection, or removes it and closes its idle connections. */
+    void setUp(String node, boolean on) {
+        loop.execute(() -> nodes.stream().filter(n -> n.name.equals(node)).forEach(n -> {
+            n.up = on;
             if (!on) {
-                letGo(d);
+                closeIdle(n);
             }
         }));
     }
 
-    private void letGo(Door door) {
-        door.idle.forEach(i -> i.channel().close());
-        door.idle.clear();
+    private void closeIdle(FrontNode node) {
+        node.idle.forEach(i -> i.channel().close());
+        node.idle.clear();
     }
 
-    void factor(double times) {
-        loop.execute(() -> factor = times);
+    void loadFactor(double times) {
+        loop.execute(() -> loadFactor = times);
     }
 
-    /** Plays the load; what it returns completes when its time is over and nothing is open any more. */
-    CompletableFuture<Void> play() {
-        CompletableFuture<Void> over = new CompletableFuture<>();
+    /** Starts the load; the future completes when its duration is over and no request is open. */
+    CompletableFuture<Void> start() {
+        CompletableFuture<Void> done = new CompletableFuture<>();
         loop.execute(() -> {
-            begun = System.nanoTime();
-            until = begun + drill.durationMs() * 1_000_000;
-            figures.begin(begun);
-            drill.load().forEach(of -> next(of, begun));
-            tick(over);
+            startedAt = System.nanoTime();
+            until = startedAt + drill.durationMs() * 1_000_000;
+            statistics.begin(startedAt);
+            drill.load().forEach(c -> scheduleArrival(c, startedAt));
+            tick(done);
         });
-        return over;
+        return done;
     }
 
-    private void tick(CompletableFuture<Void> over) {
+    private void tick(CompletableFuture<Void> done) {
         long now = System.nanoTime();
-        if (now - ticked > OWN_DELAY_NS) {
-            doors.forEach(this::letGo);
+        if (now - lastTick > LOOP_DELAY_LIMIT_NS) {
+            nodes.forEach(this::closeIdle);
         }
-        ticked = now;
-        while (!agenda.isEmpty() && agenda.peek().at() <= now) {
-            agenda.poll().what().run();
+        lastTick = now;
+        while (!tasks.isEmpty() && tasks.peek().at() <= now) {
+            tasks.poll().action().run();
         }
-        if (now > until && open == 0 && agenda.isEmpty()) {
-            doors.forEach(this::letGo);
-            over.complete(null);
+        if (now > until && open == 0 && tasks.isEmpty()) {
+            nodes.forEach(this::closeIdle);
+            done.complete(null);
         } else {
-            loop.schedule(() -> tick(over), AGENDA_MS, TimeUnit.MILLISECONDS);
+            loop.schedule(() -> tick(done), TICK_MS, TimeUnit.MILLISECONDS);
         }
     }
 
-    /** Plans the next arrival of a class: at random, independent of each other. */
-    private void next(LoadClass of, long from) {
-        long at = from + (long) (-Math.log(1 - random.nextDouble()) * 1e9 / (of.perSecond() * Math.max(1e-9, factor)));
+    /** Schedules the next arrival of a class; arrivals form a Poisson process. */
+    private void scheduleArrival(LoadClass loadClass, long from) {
+        long at = from + (long) (-Math.log(1 - random.nextDouble()) * 1e9 / (loadClass.perSecond() * Math.max(1e-9, loadFactor)));
         if (at < until) {
-            agenda.add(new Due(at, () -> {
-                next(of, at);
-                figures.offered(of);
-                ask(new Try(id(), of, site(), System.nanoTime(), of.retries()));
+            tasks.add(new ScheduledTask(at, () -> {
+                scheduleArrival(loadClass, at);
+                statistics.offered(loadClass);
+                send(new Attempt(nextId(), loadClass, pickSite(), System.nanoTime(), loadClass.retries()));
             }));
         }
     }
 
-    private String id() {
-        return String.format("%08x%08x", drill.seed() & 0xffffffffL, ++count);
+    private String nextId() {
+        return String.format("%08x%08x", drill.seed() & 0xffffffffL, ++requestCount);
     }
 
-    private String site() {
+    private String pickSite() {
         double sum = drill.sites().values().stream().mapToDouble(Drill.Site::share).sum();
         double at = random.nextDouble() * sum;
         for (String site : drill.siteNames()) {
@@ -198,71 +198,72 @@
         return drill.siteNames().get(0);
     }
 
-    private void ask(Try t) {
-        List<Door> here = doors.stream().filter(d -> d.up && d.site.equals(t.site)).collect(Collectors.toList());
-        if (here.isEmpty()) {
-            here = doors.stream().filter(d -> d.up).collect(Collectors.toList());
+    private void send(Attempt t) {
+        List<FrontNode> candidates = nodes.stream().filter(n -> n.up && n.site.equals(t.site)).collect(Collectors.toList());
+        if (candidates.isEmpty()) {
+            candidates = nodes.stream().filter(n -> n.up).collect(Collectors.toList());
         }
-        if (here.isEmpty()) {
-            figures.turnedAway();
+        if (candidates.isEmpty()) {
+            statistics.turnedAway();
             return;
         }
-        t.door = here.get(random.nextInt(here.size()));
+        t.node = candidates.get(random.nextInt(candidates.size()));
         open++;
-        for (Idle kept = t.door.idle.pollLast(); kept != null; kept = t.door.idle.pollLast()) {
-            if (kept.channel().isActive() && System.nanoTime() - kept.since() < FRESH_NS) {
+        for (IdleConnection kept = t.node.idle.pollLast(); kept != null; kept = t.node.idle.pollLast()) {
+            if (kept.channel().isActive() && System.nanoTime() - kept.since() < MAX_IDLE_NS) {
                 write(t, kept.channel());
                 return;
             }
             kept.channel().close();
         }
-        long dialled = System.nanoTime();
+        long connectStarted = System.nanoTime();
         new Bootstrap().group(loop).channel(NioSocketChannel.class)
             .option(ChannelOption.TCP_NODELAY, true)
             .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 1_000)
             .handler(new ChannelInitializer<SocketChannel>() {
                 @Override
                 protected void initChannel(SocketChannel channel) {
-                    channel.pipeline().addLast(new HttpClientCodec(), new HttpObjectAggregator(LARGEST), new Answers());
+                    channel.pipeline().addLast(new HttpClientCodec(), new HttpObjectAggregator(MAX_RESPONSE_BYTES), new ResponseHandler());
                 }
-            }).connect(t.door.address).addListener((ChannelFuture done) -> {
-                if (done.isSuccess() && System.nanoTime() - dialled < OWN_DELAY_NS) {
+            }).connect(t.node.address).addListener((ChannelFuture done) -> {
+                if (done.isSuccess() && System.nanoTime() - connectStarted < LOOP_DELAY_LIMIT_NS) {
                     write(t, done.channel());
                 } else {
                     done.channel().close();
-                    turnedAway(t);
+                    connectionRefused(t);
                 }
             });
     }
 
-    private void turnedAway(Try t) {
+    private void connectionRefused(Attempt t) {
         if (!t.over) {
             t.over = true;
             open--;
-            figures.turnedAway();
-            history.add(Type.TURNED_AWAY, "id", t.id, "node", t.door.name);
-            again(t, 0);
+            statistics.turnedAway();
+            history.add(Type.TURNED_AWAY, "id", t.id, "node", t.node.name);
+            retry(t, 0);
         }
     }
 
-    private void write(Try t, Channel channel) {
-        boolean safe = t.of.effect() == Effect.SAFE;
+    private void write(Attempt t, Channel channel) {
+        boolean safe = t.loadClass.effect() == Effect.SAFE;
         FullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, safe ? HttpMethod.GET : HttpMethod.POST,
-            "/" + t.of.name(), Unpooled.EMPTY_BUFFER);
-        request.headers().set("Host", "app.svc").set("X-Trace-Id", t.id).set("X-Qos", t.of.name()).set("X-Effect", t.id)
-            .set("X-Expires-In", String.format(java.util.Locale.ROOT, "%.3f", t.of.deadlineMs() / 1e3));
+            "/" + t.loadClass.name(), Unpooled.EMPTY_BUFFER);
+        request.headers().set("Host", "app.svc").set("X-Trace-Id", t.id).set("X-Qos", t.loadClass.name()).set("X-Effect", t.id)
+            .set("X-Expires-In", String.format(java.util.Locale.ROOT, "%.3f", t.loadClass.deadlineMs() / 1e3));
         if (!safe) {
             request.headers().set("Content-Length", 0);
         }
-        channel.pipeline().get(Answers.class).waits = t;
+        channel.pipeline().get(ResponseHandler.class).pending = t;
         channel.writeAndFlush(request).addListener(written -> {
             if (written.isSuccess()) {
                 t.sent = true;
-                history.add(Type.SENT, "id", t.id, "class", t.of.name(), "effect", t.of.effect().name().toLowerCase(java.util.Locale.ROOT),
-                    "node", t.door.name, "deadline", Long.toString(t.of.deadlineMs()));
+                history.add(Type.SENT, "id", t.id, "class", t.loadClass.name(),
+                    "effect", t.loadClass.effect().name().toLowerCase(java.util.Locale.ROOT),
+                    "node", t.node.name, "deadline", Long.toString(t.loadClass.deadlineMs()));
             } else {
                 channel.close();
-                turnedAway(t);
+                connectionRefused(t);
             }
         });
         loop.schedule(() -> {
@@ -270,28 +271,28 @@
                 t.over = true;
                 open--;
                 history.add(Type.UNANSWERED, "id", t.id);
-                figures.ended(t.of, t.firstAt, 0);
+                statistics.ended(t.loadClass, t.firstSentAt, 0);
                 channel.close();
             }
-        }, t.of.deadlineMs() + LONGEST_MS, TimeUnit.MILLISECONDS);
+        }, t.loadClass.deadlineMs() + ANSWER_TIMEOUT_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** A client tries again, if it does so at all; {@code afterMs}: as it was told. */
-    private void again(Try t, long afterMs) {
+    /** Schedules a retry if the client has any left; {@code afterMs} is the delay that the answer asked for. */
+    private void retry(Attempt t, long afterMs) {
         if (t.retriesLeft > 0) {
-            long at = System.nanoTime() + Math.min(MOST_PUT_OFF_MS, afterMs) * 1_000_000;
-            agenda.add(new Due(at, () -> ask(new Try(id(), t.of, t.site, t.firstAt, t.retriesLeft - 1))));
+            long at = System.nanoTime() + Math.min(MAX_RETRY_DELAY_MS, afterMs) * 1_000_000;
+            tasks.add(new ScheduledTask(at, () -> send(new Attempt(nextId(), t.loadClass, t.site, t.firstSentAt, t.retriesLeft - 1))));
         }
     }
 
-    /** What comes on a connection; one request is open on it at a time. */
-    private final class Answers extends SimpleChannelInboundHandler<FullHttpResponse> {
-        private Try waits;
+    /** Handles the answers on a connection, which carries one request at a time. */
+    private final class ResponseHandler extends SimpleChannelInboundHandler<FullHttpResponse> {
+        private Attempt pending;
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpResponse answer) {
-            Try t = waits;
-            waits = null;
+            Attempt t = pending;
+            pending = null;
             if (t == null || t.over) {
                 context.close();
                 return;
@@ -302,30 +303,30 @@
             String body = answer.content().toString(StandardCharsets.US_ASCII);
             String by = status == 200 && body.indexOf(' ') > 0 ? body.substring(0, body.indexOf(' ')) : "";
             history.add(Type.ANSWERED, "id", t.id, "status", Integer.toString(status), "by", by);
-            figures.ended(t.of, t.firstAt, status);
-            if (HttpUtil.isKeepAlive(answer) && t.door.up) {
-                t.door.idle.add(new Idle(context.channel(), System.nanoTime()));
+            statistics.ended(t.loadClass, t.firstSentAt, status);
+            if (HttpUtil.isKeepAlive(answer) && t.node.up) {
+                t.node.idle.add(new IdleConnection(context.channel(), System.nanoTime()));
             } else {
                 context.close();
             }
             if (status == 503 || status == 429) {
-                String away = answer.headers().get("Retry-After", "0");
-                again(t, away.matches("[0-9]{1,4}(\\.[0-9]{1,9})?") ? (long) (Double.parseDouble(away) * 1e3) : 0);
+                String retryAfter = answer.headers().get("Retry-After", "0");
+                retry(t, retryAfter.matches("[0-9]{1,4}(\\.[0-9]{1,9})?") ? (long) (Double.parseDouble(retryAfter) * 1e3) : 0);
             }
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
-            Try t = waits;
+            Attempt t = pending;
             if (t != null && !t.over) {
                 if (!t.sent) {
-                    turnedAway(t);
+                    connectionRefused(t);
                     return;
                 }
                 t.over = true;
                 open--;
                 history.add(Type.BROKEN, "id", t.id);
-                figures.ended(t.of, t.firstAt, 0);
+                statistics.ended(t.loadClass, t.firstSentAt, 0);
             }
         }
 
--- a/src/main/java/onyxpaddle/drill/Relay.java
+++ b/src/main/java/onyxpaddle/drill/Relay.java
@@ -23,40 +23,40 @@
 import java.util.function.Supplier;
 
 /**
- * The way from one node to one box, on a port of its own: passes bytes on as its {@link Link} has it. What is held is kept in
- * order, up to a bound from which on it is no longer read, and so is the news of a close. Everything of a relay happens on one loop.
+ * A TCP proxy from one node to one box, on a port of its own, which forwards data as its {@link Link} dictates. Held data is kept in
+ * order, and reading stops above a limit; a close is held as well. Each relay runs on a single event loop.
  *
- * <p>A silent link transmissionNs new connections all the same, as loopback can't be made to drop their first packet: to a node they
- * come up and stay silent.
+ * <p>A silent link still accepts new connections, because loopback cannot be made to drop SYN packets: a node sees a connection that is
+ * established and stays silent.
  */
 public final class Relay implements AutoCloseable {
-    private static final int MOST_HELD = 1 << 20;
-    private static final long LOOK_MS = 2;
+    private static final int MAX_HELD_BYTES = 1 << 20;
+    private static final long RETRY_MS = 2;
 
     private final EventLoop loop;
     private final Link link;
     private final Supplier<InetSocketAddress> box;
-    /** Which node comes from which address, for the boxes. */
-    private final Map<SocketAddress, String> callers;
+    /** The node behind each connection to a box, by local address. */
+    private final Map<SocketAddress, String> nodesByConnection;
     private final String node;
     private final Channel listener;
     private final Set<Channel> open = new LinkedHashSet<>();
 
     /**
-     * Listens from now on.
+     * Binds a port and starts to listen.
      *
-     * @param link what the way does now, asked by {@code loop} for each piece
-     * @param node who comes by it
-     * @param box where it listens now, null where it doesn't
-     * @param callers gets the address that each connection to the box comes from, for as long as it is open; safe for several threads
+     * @param link the state of the link; read on {@code loop} for each buffer
+     * @param node the node that connects
+     * @param box supplies the address of the box; null while it does not listen
+     * @param nodesByConnection receives the local address of each open connection to the box; must be thread-safe
      */
-    public Relay(EventLoop loop, Link link, String node, Supplier<InetSocketAddress> box, Map<SocketAddress, String> callers)
+    public Relay(EventLoop loop, Link link, String node, Supplier<InetSocketAddress> box, Map<SocketAddress, String> nodesByConnection)
             throws InterruptedException {
         this.loop = loop;
         this.link = link;
         this.node = node;
         this.box = box;
-        this.callers = callers;
+        this.nodesByConnection = nodesByConnection;
         this.listener = new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
             .childOption(ChannelOption.TCP_NODELAY, true)
             .childOption(ChannelOption.AUTO_READ, false)
@@ -68,7 +68,7 @@
             }).bind("127.0.0.1", 0).sync().channel();
     }
 
-    /** Where it listens, as configurations word it. */
+    /** The listening address as {@code host:port}. */
     public String address() {
         return "127.0.0.1:" + ((InetSocketAddress) listener.localAddress()).getPort();
     }
@@ -92,11 +92,11 @@
                 }
                 Channel other = done.channel();
                 SocketAddress local = other.localAddress();
-                callers.put(local, node);
+                nodesByConnection.put(local, node);
                 open.add(other);
                 other.closeFuture().addListener(f -> {
                     open.remove(other);
-                    callers.remove(local);
+                    nodesByConnection.remove(local);
                 });
                 from.pipeline().addLast(new Pipe(other, true));
                 other.pipeline().addLast(new Pipe(from, false));
@@ -110,7 +110,7 @@
         channel.close();
     }
 
-    /** Ends all its connections by a reset. */
+    /** Resets all connections. */
     public void reset() {
         loop.execute(() -> List.copyOf(open).forEach(Relay::reset));
     }
@@ -126,11 +126,11 @@
         private final Channel to;
         private final boolean toBox;
         private final ArrayDeque<ByteBuf> held = new ArrayDeque<>();
-        private final ArrayDeque<Long> due = new ArrayDeque<>();
-        private int bytes;
+        private final ArrayDeque<Long> dueAt = new ArrayDeque<>();
+        private int heldBytes;
         private long freeAt;
-        private boolean over;
-        private boolean looks;
+        private boolean sourceClosed;
+        private boolean retryScheduled;
 
         Pipe(Channel to, boolean toBox) {
             this.to = to;
@@ -143,18 +143,18 @@
             long now = System.nanoTime();
             freeAt = Math.max(freeAt, now) + link.transmissionNs(next.readableBytes());
             held.add(next);
-            due.add(Math.max(freeAt, now + link.delay()));
-            bytes += next.readableBytes();
-            if (bytes > MOST_HELD) {
+            dueAt.add(Math.max(freeAt, now + link.delayNs()));
+            heldBytes += next.readableBytes();
+            if (heldBytes > MAX_HELD_BYTES) {
                 context.channel().config().setAutoRead(false);
             }
-            pass(context.channel());
+            forward(context.channel());
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
-            over = true;
-            pass(context.channel());
+            sourceClosed = true;
+            forward(context.channel());
         }
 
         @Override
@@ -162,17 +162,17 @@
             reset(context.channel());
         }
 
-        private void lookAgain(Channel from) {
-            if (!looks) {
-                looks = true;
+        private void retryLater(Channel from) {
+            if (!retryScheduled) {
+                retryScheduled = true;
                 loop.schedule(() -> {
-                    looks = false;
-                    pass(from);
-                }, LOOK_MS, TimeUnit.MILLISECONDS);
+                    retryScheduled = false;
+                    forward(from);
+                }, RETRY_MS, TimeUnit.MILLISECONDS);
             }
         }
 
-        private void pass(Channel from) {
+        private void forward(Channel from) {
             if (!to.isActive()) {
                 held.forEach(ByteBuf::release);
                 held.clear();
@@ -180,22 +180,22 @@
                 return;
             }
             boolean wrote = false;
-            while (!held.isEmpty() && !link.holdsBack(toBox) && due.peek() <= System.nanoTime()) {
-                due.poll();
+            while (!held.isEmpty() && !link.holdsBack(toBox) && dueAt.peek() <= System.nanoTime()) {
+                dueAt.poll();
                 ByteBuf next = held.poll();
-                bytes -= next.readableBytes();
+                heldBytes -= next.readableBytes();
                 to.write(next);
                 wrote = true;
             }
             if (wrote) {
                 to.flush();
             }
-            if (bytes <= MOST_HELD && from.isActive()) {
+            if (heldBytes <= MAX_HELD_BYTES && from.isActive()) {
                 from.config().setAutoRead(true);
             }
-            if (!held.isEmpty() || over && link.holdsBack(toBox)) {
-                lookAgain(from);
-            } else if (over) {
+            if (!held.isEmpty() || sourceClosed && link.holdsBack(toBox)) {
+                retryLater(from);
+            } else if (sourceClosed) {
                 to.close();
             }
         }
--- a/src/main/java/onyxpaddle/drill/ServeProcess.java
+++ b/src/main/java/onyxpaddle/drill/ServeProcess.java
@@ -14,14 +14,14 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** One process of the program as built, started as the platform starts a node: {@code serve}, told by {@code GW_CONFIG}. */
+/** A process of the built program, started like a node on the platform: {@code serve}, configured through {@code GW_CONFIG}. */
 public final class ServeProcess {
-    private static final long LONGEST_START_S = 60;
-    private static final int DOOR_MS = 2_000;
-    private static final List<String> OPTIONS = List.of("-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xms24m", "-Xmx48m",
+    private static final long START_TIMEOUT_S = 60;
+    private static final int ADMIN_TIMEOUT_MS = 2_000;
+    private static final List<String> JVM_OPTIONS = List.of("-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xms24m", "-Xmx48m",
         "-Xss512k", "-XX:MaxDirectMemorySize=24m", "-XX:-UsePerfData", "-Dio.netty.leakDetection.level=disabled");
 
-    private static final AtomicInteger ADDRESSES = new AtomicInteger();
+    private static final AtomicInteger ADDRESS_COUNTER = new AtomicInteger();
 
     private final Process process;
     private final InetSocketAddress admin;
@@ -35,22 +35,29 @@
         this.log = log;
     }
 
-    /** Starts one; {@code temporary}: its {@code TMPDIR}, where processes of one node meet; {@code log}: what it writes; {@code told}: further variables. */
-    public static ServeProcess start(Path config, Path temporary, Path log, Map<String, String> told) throws IOException {
-        return start(config, temporary, log, told, new Machine(0, jar().resolveSibling("weldlink.jsa")));
+    /**
+     * Starts a process.
+     *
+     * @param temporary its {@code TMPDIR}, through which processes of one node find each other
+     * @param log the file for its output
+     * @param environment further environment variables
+     */
+    public static ServeProcess start(Path config, Path temporary, Path log, Map<String, String> environment) throws IOException {
+        return start(config, temporary, log, environment, new Machine(0, jar().resolveSibling("weldlink.jsa")));
     }
 
     /**
-     * What a process finds.
+     * The environment of a process on its machine.
      *
-     * @param descriptors the system lets it hold no more files and sockets than these; 0 for the usual number
-     * @param classes the archive of its classes, which it starts without where there is none
+     * @param descriptors the limit of open files and sockets; 0 for the default
+     * @param classes the class data archive; if the file is missing, the process starts without one
      */
     public record Machine(int descriptors, Path classes) {
     }
 
-    /** As the other, on such a machine. */
-    public static ServeProcess start(Path config, Path temporary, Path log, Map<String, String> told, Machine machine) throws IOException {
+    /** Starts a process with the limits and the class data archive of {@code machine}. */
+    public static ServeProcess start(Path config, Path temporary, Path log, Map<String, String> environment,
+            Machine machine) throws IOException {
         Path jar = jar();
         List<String> command = new ArrayList<>();
         if (machine.descriptors() > 0) {
@@ -60,7 +67,7 @@
         if (Files.exists(machine.classes())) {
             command.add("-XX:SharedArchiveFile=" + machine.classes());
         }
-        command.addAll(OPTIONS);
+        command.addAll(JVM_OPTIONS);
         command.addAll(List.of("-jar", jar.toString(), "serve"));
         InetSocketAddress admin = freePort();
         ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true).redirectOutput(log.toFile());
@@ -68,22 +75,22 @@
         builder.environment().put("GW_CONFIG", config.toString());
         builder.environment().put("GW_ADMIN", hostPort(admin));
         builder.environment().put("TMPDIR", temporary.toString());
-        builder.environment().putAll(told);
+        builder.environment().putAll(environment);
         return new ServeProcess(builder.start(), admin, log);
     }
 
-    /** Stores the classes of a node in that file, as the platform's build does. */
+    /** Writes the class data archive of a node to this file, as the platform's build does. */
     public static void archive(Path classes) throws IOException, InterruptedException {
         Process process = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-XX:+UseSerialGC",
             "-XX:TieredStopAtLevel=1", "-XX:ArchiveClassesAtExit=" + classes, "-Xlog:disable", "-jar", jar().toString(), "rehearse")
             .redirectErrorStream(true).redirectOutput(ProcessBuilder.Redirect.DISCARD).start();
-        if (!process.waitFor(LONGEST_START_S, TimeUnit.SECONDS) || process.exitValue() != 0) {
+        if (!process.waitFor(START_TIMEOUT_S, TimeUnit.SECONDS) || process.exitValue() != 0) {
             process.destroyForcibly();
-            throw new IOException("the classes could not be stored");
+            throw new IOException("could not write the class data archive");
         }
     }
 
-    /** The program's jar: this one, or the one beside the classes that tests run from. */
+    /** The program's jar: the one that runs, or the one beside the class folder that tests run from. */
     public static Path jar() {
         try {
             Path from = Path.of(ServeProcess.class.getProtectionDomain().getCodeSource().getLocation().toURI());
@@ -94,29 +101,30 @@
     }
 
     /**
-     * An address and port that nothing listens on now. Each call gives another address of the loopback network, told apart by
-     * this process too: a port that was free on an address that all share may be another's before it is used.
+     * Returns an address and port that nothing listens on. Each call uses another address of the loopback network, which also depends
+     * on the process id: a free port of a shared address could be taken by another process before it is used.
      */
     public static InetSocketAddress freePort() throws IOException {
-        int number = ADDRESSES.getAndIncrement() % 65_000;
+        int number = ADDRESS_COUNTER.getAndIncrement() % 65_000;
         long pid = ProcessHandle.current().pid();
-        InetAddress own = InetAddress.getByAddress(new byte[] {127, (byte) (1 + pid % 250), (byte) (number / 250), (byte) (1 + number % 250)});
+        InetAddress own = InetAddress.getByAddress(new byte[] {127, (byte) (1 + pid % 250),
+            (byte) (number / 250), (byte) (1 + number % 250)});
         try (ServerSocket socket = new ServerSocket(0, 1, own)) {
             return new InetSocketAddress(own, socket.getLocalPort());
         }
     }
 
-    /** As configurations word it. */
+    /** Formats an address as {@code host:port}. */
     public static String hostPort(InetSocketAddress address) {
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 
-    /** Waits until it says that it is ready; ends it where it doesn't within a minute. */
+    /** Waits until the process reports that it is ready; kills it if that takes longer than a minute. */
     public ServeProcess awaitReady() throws IOException, InterruptedException {
         while (!call("GET /ready").startsWith("HTTP/1.1 200")) {
-            if (System.nanoTime() - startedAt > TimeUnit.SECONDS.toNanos(LONGEST_START_S) || !process.isAlive()) {
+            if (System.nanoTime() - startedAt > TimeUnit.SECONDS.toNanos(START_TIMEOUT_S) || !process.isAlive()) {
                 process.destroyForcibly();
-                throw new IOException("a node was not ready within " + LONGEST_START_S + " s: " + log());
+                throw new IOException("a node was not ready within " + START_TIMEOUT_S + " s: " + log());
             }
             Thread.sleep(2);
         }
@@ -124,7 +132,7 @@
         return this;
     }
 
-    /** From its start until it said that it was ready, in milliseconds. */
+    /** Time from the start until the process reported that it was ready, in milliseconds. */
     public double startMs() {
         return startMs;
     }
@@ -133,33 +141,33 @@
         return process;
     }
 
-    /** What it has written so far. */
+    /** The output so far. */
     public String log() throws IOException {
         return Files.readString(log);
     }
 
-    /** Sends it a signal by its name, such as STOP or CONT. */
+    /** Sends a signal by name, such as STOP or CONT. */
     public void signal(String name) throws IOException, InterruptedException {
         new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start().waitFor();
     }
 
-    /** Ends it at once and waits for that. */
+    /** Kills the process and waits for its end. */
     public void kill() throws InterruptedException {
         process.destroyForcibly().waitFor();
     }
 
-    /** What the operators' door answers, head and all; empty where it doesn't. */
-    public String call(String what) {
+    /** Sends a request to the admin address; returns the answer with its head, or an empty string if there is none. */
+    public String call(String requestLine) {
         try (Socket socket = new Socket(admin.getAddress(), admin.getPort())) {
-            socket.setSoTimeout(DOOR_MS);
-            socket.getOutputStream().write((what + " HTTP/1.1\r\n\r\n").getBytes(StandardCharsets.US_ASCII));
+            socket.setSoTimeout(ADMIN_TIMEOUT_MS);
+            socket.getOutputStream().write((requestLine + " HTTP/1.1\r\n\r\n").getBytes(StandardCharsets.US_ASCII));
             return new String(socket.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
         } catch (IOException e) {
             return "";
         }
     }
 
-    /** Its resident memory in MiB, the highest so far. */
+    /** Peak resident memory in MiB. */
     public double peakResidentMiB() throws IOException {
         for (String line : Files.readAllLines(Path.of("/proc/" + process.pid() + "/status"))) {
             if (line.startsWith("VmHWM:")) {
@@ -169,7 +177,7 @@
         return Double.NaN;
     }
 
-    /** Seconds of processor time that it has used so far. */
+    /** Processor time used so far, in seconds. */
     public double cpuSeconds() {
         return process.info().totalCpuDuration().map(d -> d.toNanos() / 1e9).orElse(Double.NaN);
     }
--- a/src/test/java/onyxpaddle/drill/DrillIT.java
+++ b/src/test/java/onyxpaddle/drill/DrillIT.java
@@ -13,9 +13,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Processes of the program, with all kinds of faults between them in one run: the rules are kept, and the history says so again. */
+/** Drills with real node processes: all rules hold under every kind of fault, and checking the history file again gives the same result. */
 class DrillIT {
-    private static final String ALL = """
+    private static final String ALL_FAULTS = """
         version: 1
         name: all
         lasts: 8 s
@@ -41,9 +41,9 @@
         """;
 
     @Test
-    void allFaultsAtOnceAndNoRuleIsBroken(@TempDir Path folder) throws Exception {
+    void allKindsOfFaultsTogetherBreakNoRule(@TempDir Path folder) throws Exception {
         Faults faults = new Faults();
-        Drill drill = DrillReader.text("all.yaml", ALL, faults);
+        Drill drill = DrillReader.text("all.yaml", ALL_FAULTS, faults);
         assertEquals(List.of(), faults.list());
         Path file = folder.resolve("history.jsonl");
         HistoryCheck.Verdict verdict;
@@ -58,16 +58,16 @@
             .map(e -> e.get("state")).collect(Collectors.toSet()));
         assertEquals(2L * drill.faults().size(), events.stream().filter(e -> e.type() == Event.Type.FAULT).count());
         assertTrue(Files.size(file) > 0);
-        // The same history with one booking's run written down twice is caught: what was judged is what was seen.
+        // The check is not vacuous: the same history with one unsafe execution recorded twice is a breach.
         List<Event> twice = new java.util.ArrayList<>(events);
         Event ran = events.stream().filter(e -> e.type() == Event.Type.RAN && unsafe(events, e)).findFirst().orElseThrow();
         twice.add(events.indexOf(ran), ran);
         assertEquals(List.of("2 twice"), HistoryCheck.check(twice).breaches().stream().map(HistoryCheck.Breach::rule).toList());
     }
 
-    /** A third of what there is goes: each of the survivors' nodes sees the loss by itself, and the rules are kept. */
+    /** One of three sites is lost: each node of the surviving sites detects the loss by itself, and the rules hold. */
     @Test
-    void aLostSiteIsSeenByEveryNodeThatIsLeftAndHasAPlan(@TempDir Path folder) throws Exception {
+    void everySurvivingNodeWithAPlanDetectsALostSite(@TempDir Path folder) throws Exception {
         Drill drill = DrillReader.text("lost.yaml", """
             version: 1
             name: lost
@@ -88,15 +88,15 @@
         try (DrillRun run = new DrillRun(drill, folder.resolve("history.jsonl"))) {
             DrillRun.Outcome outcome = run.play();
             assertEquals(List.of(), outcome.verdict().breaches());
-            // By its calls, or by its list where the machine is slow; that calls are enough is PlanGateTest's.
-            List<String> seen = outcome.logs().entrySet().stream().filter(e -> !e.getKey().startsWith("north") && e.getValue().contains("site north: ")
-                && e.getValue().contains(" to LOST")).map(java.util.Map.Entry::getKey).sorted().toList();
-            assertEquals(List.of("east/0", "east/1", "south/0", "south/1"), seen, outcome.logs().toString());
+            // Detected by failed calls, or by the list on a slow machine; PlanGateTest covers that calls suffice.
+            List<String> detected = outcome.logs().entrySet().stream().filter(e -> !e.getKey().startsWith("north")
+                && e.getValue().contains("site north: ") && e.getValue().contains(" to LOST")).map(java.util.Map.Entry::getKey).sorted().toList();
+            assertEquals(List.of("east/0", "east/1", "south/0", "south/1"), detected, outcome.logs().toString());
         }
     }
 
     @Test
-    void aDrillWhoseFaultsNeverBeginProvesNothing() throws Exception {
+    void aDrillWhoseFaultsNeverBeginFails() throws Exception {
         Drill drill = DrillReader.text("never.yaml", """
             version: 1
             name: never
@@ -112,6 +112,7 @@
     }
 
     private static boolean unsafe(List<Event> events, Event ran) {
-        return events.stream().anyMatch(e -> e.type() == Event.Type.SENT && e.get("id").equals(ran.get("id")) && e.get("effect").equals("unsafe"));
+        return events.stream().anyMatch(e -> e.type() == Event.Type.SENT && e.get("id").equals(ran.get("id"))
+            && e.get("effect").equals("unsafe"));
     }
 }
--- a/src/test/java/onyxpaddle/drill/DrillReaderTest.java
+++ b/src/test/java/onyxpaddle/drill/DrillReaderTest.java
@@ -12,9 +12,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The file of a drill: what it says, and that each fault is told with its place. */
+/** Reading of drill files, and the report of each fault with its place. */
 class DrillReaderTest {
-    private static final String GOOD = """
+    private static final String VALID = """
         version: 1
         name: one
         lasts: 4 s
@@ -30,9 +30,9 @@
         """;
 
     @Test
-    void whatItSays() {
+    void readsAValidFile() {
         Faults faults = new Faults();
-        Drill drill = DrillReader.text("d.yaml", GOOD, faults);
+        Drill drill = DrillReader.text("d.yaml", VALID, faults);
         assertEquals(List.of(), faults.list());
         assertEquals(List.of("east", "west"), drill.siteNames());
         assertEquals(200, drill.boxes().perSecond());
@@ -45,9 +45,9 @@
     }
 
     @Test
-    void aLargeFleetIsNoFault() {
+    void aLargeFleetIsValid() {
         Faults faults = new Faults();
-        Drill drill = DrillReader.text("d.yaml", GOOD.replace("nodes: 2, boxes: 3", "nodes: 1100, boxes: 1100"), faults);
+        Drill drill = DrillReader.text("d.yaml", VALID.replace("nodes: 2, boxes: 3", "nodes: 1100, boxes: 1100"), faults);
         assertEquals(List.of(), faults.list());
         assertEquals(1100, drill.sites().get("east").boxes());
     }
@@ -58,26 +58,26 @@
         "stop: east/1 | kill: east/s1 | there is no node `east/s1`",
         "stop: east/1 | drain: west/1 | there is no box `west/1`",
         "stop: east/1 | lose: north | there is no site `north`; one of east, west",
-        "stop: east/1 | size: 1 | says of nothing that it fails",
-        "stop: east/1 | 'stop: east/1, lose: west' | says more than one thing",
-        "stop: east/1 | 'stop: east/1, how: silent' | is of a cut, and nothing is cut",
+        "stop: east/1 | size: 1 | names no fault",
+        "stop: east/1 | 'stop: east/1, lose: west' | names more than one fault",
+        "stop: east/1 | 'stop: east/1, how: silent' | applies to `cut:` only",
         "'[east, west]' | '[east]' | names 1 sites",
         "one-way | delayed | has no size",
         "one-way | sideways | sideways",
         "per-second: 50 | 'per-second: 50, aim: 3 s' | is longer than the deadline",
-        "per-second: 50} | 'per-second: 50}\n  - {class: book, per-second: 1}' | `book` is there already",
-        "nodes: 2 | nodes: 10000 | more processes than one machine plays",
+        "per-second: 50} | 'per-second: 50}\n  - {class: book, per-second: 1}' | `book` is a duplicate",
+        "nodes: 2 | nodes: 10000 | more processes than one machine can run",
         "share: 2} | 'share: 0}' | ",
         "takes: 10 ms | takes: 10 | takes",
         "lasts: | last: | did you mean `lasts`"})
-    void eachFaultIsTold(String good, String bad, String told) {
+    void eachFaultIsReported(String valid, String invalid, String expected) {
         Faults faults = new Faults();
-        Drill drill = DrillReader.text("d.yaml", GOOD.replace(good, bad.replace("\\n", "\n")), faults);
-        if (told == null) {
+        Drill drill = DrillReader.text("d.yaml", VALID.replace(valid, invalid.replace("\\n", "\n")), faults);
+        if (expected == null) {
             assertEquals(List.of(), faults.list(), "west has a share");
             return;
         }
         assertNull(drill);
-        assertTrue(faults.list().stream().anyMatch(f -> f.toString().contains(told)), faults.list().toString());
+        assertTrue(faults.list().stream().anyMatch(f -> f.toString().contains(expected)), faults.list().toString());
     }
 }
--- a/src/test/java/onyxpaddle/drill/RelayTest.java
+++ b/src/test/java/onyxpaddle/drill/RelayTest.java
@@ -22,35 +22,35 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Each way in which a link can be cut, seen from both of its ends. */
+/** Each way to cut a link, observed from both ends. */
 class RelayTest {
-    private static final int PATIENCE_MS = 20_000;
-    /** How long nothing has to come for a link to be silent; only what is wrongly passed on within it would be seen. */
-    private static final int SILENCE_MS = 200;
+    private static final int TIMEOUT_MS = 20_000;
+    /** How long a link must deliver nothing to count as silent; data forwarded wrongly after that goes undetected. */
+    private static final int SILENT_INTERVAL_MS = 200;
 
     private final MultiThreadIoEventLoopGroup loops = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final Link link = new Link();
-    private final Map<SocketAddress, String> callers = new ConcurrentHashMap<>();
+    private final Map<SocketAddress, String> nodesByConnection = new ConcurrentHashMap<>();
     private ServerSocket box;
     private Relay relay;
-    private Socket near;
-    private Socket far;
+    private Socket nodeSide;
+    private Socket boxSide;
 
     @BeforeEach
     void connect() throws Exception {
         box = new ServerSocket(0, 10, InetAddress.getByName("127.0.0.1"));
-        relay = new Relay(loops.next(), link, "n/0", () -> (InetSocketAddress) box.getLocalSocketAddress(), callers);
-        near = dial();
-        far = box.accept();
-        far.setSoTimeout(PATIENCE_MS);
-        pass(near, far, 1);
-        pass(far, near, 2);
+        relay = new Relay(loops.next(), link, "n/0", () -> (InetSocketAddress) box.getLocalSocketAddress(), nodesByConnection);
+        nodeSide = dial();
+        boxSide = box.accept();
+        boxSide.setSoTimeout(TIMEOUT_MS);
+        assertForwarded(nodeSide, boxSide, 1);
+        assertForwarded(boxSide, nodeSide, 2);
     }
 
     @AfterEach
     void close() throws Exception {
-        near.close();
-        far.close();
+        nodeSide.close();
+        boxSide.close();
         relay.close();
         box.close();
         loops.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
@@ -58,71 +58,71 @@
 
     private Socket dial() throws IOException {
         Socket socket = new Socket("127.0.0.1", Integer.parseInt(relay.address().substring(relay.address().indexOf(':') + 1)));
-        socket.setSoTimeout(PATIENCE_MS);
+        socket.setSoTimeout(TIMEOUT_MS);
         return socket;
     }
 
-    private static void pass(Socket from, Socket to, int what) throws IOException {
-        from.getOutputStream().write(what);
-        assertEquals(what, to.getInputStream().read());
+    private static void assertForwarded(Socket from, Socket to, int value) throws IOException {
+        from.getOutputStream().write(value);
+        assertEquals(value, to.getInputStream().read());
     }
 
-    private static void silent(Socket at) throws IOException {
-        at.setSoTimeout(SILENCE_MS);
+    private static void assertSilent(Socket at) throws IOException {
+        at.setSoTimeout(SILENT_INTERVAL_MS);
         assertThrows(SocketTimeoutException.class, () -> at.getInputStream().read());
-        at.setSoTimeout(PATIENCE_MS);
+        at.setSoTimeout(TIMEOUT_MS);
     }
 
     @Test
-    void theBoxCanTellWhichNodeItIs() {
-        assertEquals("n/0", callers.get(far.getRemoteSocketAddress()));
+    void connectionsAreAttributedToTheirNode() {
+        assertEquals("n/0", nodesByConnection.get(boxSide.getRemoteSocketAddress()));
     }
 
     @Test
-    void silentAndThenAllOfItLate() throws Exception {
+    void silentLinkDeliversHeldDataOnceHealed() throws Exception {
         link.cut(Cut.SILENT, 0);
-        near.getOutputStream().write(3);
-        far.getOutputStream().write(4);
-        silent(far);
-        silent(near);
+        nodeSide.getOutputStream().write(3);
+        boxSide.getOutputStream().write(4);
+        assertSilent(boxSide);
+        assertSilent(nodeSide);
         link.heal();
-        assertEquals(3, far.getInputStream().read());
-        assertEquals(4, near.getInputStream().read());
+        assertEquals(3, boxSide.getInputStream().read());
+        assertEquals(4, nodeSide.getInputStream().read());
     }
 
     @Test
-    void newsOfACloseIsHeldToo() throws Exception {
+    void closeIsHeldToo() throws Exception {
         link.cut(Cut.SILENT, 0);
-        near.getOutputStream().write(3);
-        near.close();
-        silent(far);
+        nodeSide.getOutputStream().write(3);
+        nodeSide.close();
+        assertSilent(boxSide);
         link.heal();
-        assertEquals(3, far.getInputStream().read());
-        assertEquals(-1, far.getInputStream().read());
+        assertEquals(3, boxSide.getInputStream().read());
+        assertEquals(-1, boxSide.getInputStream().read());
     }
 
     @Test
-    void oneWay() throws Exception {
+    void oneWayHoldsOnlyDataToTheBox() throws Exception {
         link.cut(Cut.ONE_WAY, 0);
-        near.getOutputStream().write(3);
-        pass(far, near, 4);
-        silent(far);
+        nodeSide.getOutputStream().write(3);
+        assertForwarded(boxSide, nodeSide, 4);
+        assertSilent(boxSide);
         link.heal();
-        assertEquals(3, far.getInputStream().read());
+        assertEquals(3, boxSide.getInputStream().read());
     }
 
     @Test
-    void resetWithWhatWasHeld() throws Exception {
+    void resetDropsHeldData() throws Exception {
         link.cut(Cut.SILENT_THEN_RESET, 0);
-        near.getOutputStream().write(3);
-        silent(far);
+        nodeSide.getOutputStream().write(3);
+        assertSilent(boxSide);
         relay.reset();
-        assertThrows(SocketException.class, () -> near.getInputStream().read());
-        assertThrows(SocketException.class, () -> far.getInputStream().read());
+        assertThrows(SocketException.class, () -> nodeSide.getInputStream().read());
+        assertThrows(SocketException.class, () -> boxSide.getInputStream().read());
     }
 
     @Test
-    void refusedAnew() throws Exception {
+    void refusedLinkResetsNewConnections() throws Exception {
         link.cut(Cut.REFUSED, 0);
         try (Socket other = dial()) {
             assertThrows(SocketException.class, () -> other.getInputStream().read());
@@ -130,15 +130,15 @@
     }
 
     @Test
-    void delayedAndSlow() throws Exception {
+    void delayAndRateLimit() throws Exception {
         link.cut(Cut.DELAYED, 100);
         long before = System.nanoTime();
-        pass(near, far, 3);
+        assertForwarded(nodeSide, boxSide, 3);
         assertTrue(System.nanoTime() - before >= 100_000_000L);
         link.cut(Cut.SLOW, 1);
         before = System.nanoTime();
-        near.getOutputStream().write(new byte[256]);
-        far.getInputStream().readNBytes(256);
+        nodeSide.getOutputStream().write(new byte[256]);
+        boxSide.getInputStream().readNBytes(256);
         assertTrue(System.nanoTime() - before >= 240_000_000L, "256 bytes at a KiB a second");
     }
 }
