--- a/src/main/java/onyxpaddle/serve/DistributedConfiguration.java
+++ b/src/main/java/onyxpaddle/serve/DistributedConfiguration.java
@@ -100,7 +100,7 @@
     }
 
     /**
-     * Starts instrument. The result completes once a first configuration is in force: the one of the control processes if one of them
+     * Starts watching. The result completes once a first configuration is in force: the one of the control processes if one of them
      * answers within 3 s, else the cached one, else the node's own file alone. It fails with a {@link ConfigurationRefusedException}
      * if none of these can be applied.
      */
@@ -117,7 +117,7 @@
         return started;
     }
 
-    /** Stops instrument; the configuration in force stays. */
+    /** Stops watching; the configuration in force stays. */
     public void stop() {
         watch.stop();
     }
@@ -210,7 +210,7 @@
         pending = null;
         List<Entry> entries = table.entries(subscription);
         if (entries.equals(entriesInForce)) {
-            // No entry of subscription to this node has changed.
+            // No entry of interest to this node has changed.
             currentStatus = ConfigurationStatus.inForce(table.version());
         } else if (!entries.equals(refusedEntries)) {
             apply(table, entries);
--- a/src/main/java/onyxpaddle/serve/DistributedConfigurationCache.java
+++ b/src/main/java/onyxpaddle/serve/DistributedConfigurationCache.java
@@ -26,7 +26,7 @@
     record Cached(ConfigurationTable table, long writtenAt) {
     }
 
-    /** File names contain node and service, as several nodes may share a folder and the entries of subscription differ by service. */
+    /** File names contain node and service, as several nodes may share a folder and the entries of interest differ by service. */
     DistributedConfigurationCache(Path folder, Subscription subscription) {
         this.subscription = subscription;
         file = new SnapshotFile(folder, "configuration-" + subscription.node() + "--" + subscription.service());
--- a/src/test/java/onyxpaddle/distribution/ConfigurationOverlayTest.java
+++ b/src/test/java/onyxpaddle/distribution/ConfigurationOverlayTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Entries over a node's own file: which goes before which, and where faults are said to be. */
+/** Precedence of entries over a node's own file, and the places reported for faults. */
 class ConfigurationOverlayTest {
     private static final String BASE = """
         version: 1
@@ -40,10 +40,10 @@
         return new Entry(EntryKey.parse(key), value, new ConfigurationVersion(1, 1));
     }
 
-    private Value laid(String base, Entry... entries) {
-        Faults sound = new Faults();
-        Value value = SourceFile.parse("node.yaml", base, sound);
-        assertFalse(sound.any());
+    private Value merged(String base, Entry... entries) {
+        Faults baseFaults = new Faults();
+        Value value = SourceFile.parse("node.yaml", base, baseFaults);
+        assertFalse(baseFaults.any());
         return ConfigurationOverlay.apply(value, List.of(entries), faults);
     }
 
@@ -57,7 +57,7 @@
     }
 
     @Test
-    void nodeGoesBeforeServiceAndServiceBeforeFleet() {
+    void nodeOverridesServiceAndServiceOverridesFleet() {
         List<Entry> entries = new ArrayList<>(List.of(
             entry("fleet/classes.look", "{effect: safe, deadline: 1 s}"),
             entry("service/booking/classes.look", "{effect: safe, deadline: 2 s}"),
@@ -65,7 +65,7 @@
             entry("service/booking/pools.app", "{servers: [\"127.0.0.1:2\"]}"), entry("fleet/tenant", "kigali")));
         for (int i = 0; i < 10; i++) {
             Collections.shuffle(entries, new Random(i));
-            NodeConfig config = read(laid(BASE, entries.toArray(Entry[]::new)));
+            NodeConfig config = read(merged(BASE, entries.toArray(Entry[]::new)));
             assertFalse(faults.any(), faults.list().toString());
             assertEquals(3_000_000_000L, config.classes().get("look").deadline());
             assertEquals("127.0.0.1:2", config.pools().get("app").servers().get(0).address().toString());
@@ -73,82 +73,82 @@
         }
     }
 
-    /** A section is replaced, not merged key by key: what an entry doesn't say has its usual value. */
+    /** A section is replaced, not merged key by key: keys missing in the entry get their defaults. */
     @Test
     void namedSectionReplacesTheWholeSection() {
-        assertEquals(2, read(laid(BASE)).pools().get("app").attempts());
-        NodeConfig config = read(laid(BASE, entry("service/booking/pools.app", "servers: [\"127.0.0.1:7002\"]\n")));
+        assertEquals(2, read(merged(BASE)).pools().get("app").attempts());
+        NodeConfig config = read(merged(BASE, entry("service/booking/pools.app", "servers: [\"127.0.0.1:7002\"]\n")));
         assertEquals(3, config.pools().get("app").attempts());
     }
 
     @Test
-    void namedSectionComesBesideTheOthers() {
-        NodeConfig config = read(laid(BASE, entry("fleet/pools.more", "{servers: [\"127.0.0.1:7002\"]}"),
+    void namedSectionIsAddedToTheOthers() {
+        NodeConfig config = read(merged(BASE, entry("fleet/pools.more", "{servers: [\"127.0.0.1:7002\"]}"),
             entry("fleet/routes", "[{name: a, listener: in, path: /, pool: app, class: look},"
                 + "{name: b, listener: in, path: /b, pool: more, class: look}]")));
         assertFalse(faults.any(), faults.list().toString());
         assertEquals(List.of("app", "more"), List.copyOf(config.pools().keySet()));
     }
 
-    /** All of `pools` by an entry, and one pool of it by another of the same scope: the more exact one holds. */
+    /** Of an entry for all of {@code pools} and one for a single pool in the same scope, the more specific one wins. */
     @Test
-    void sectionGoesBeforeAllOfItsKeyWithinAScope() {
-        NodeConfig config = read(laid(BASE, entry("fleet/pools.app", "{servers: [\"127.0.0.1:1\"], attempts: 5}"),
+    void namedSectionOverridesItsTopLevelKeyWithinAScope() {
+        NodeConfig config = read(merged(BASE, entry("fleet/pools.app", "{servers: [\"127.0.0.1:1\"], attempts: 5}"),
             entry("fleet/pools", "app: {servers: [\"127.0.0.1:2\"], attempts: 4}\n")));
         assertEquals(5, config.pools().get("app").attempts());
-        config = read(laid(BASE, entry("fleet/pools.app", "{servers: [\"127.0.0.1:1\"], attempts: 5}"),
+        config = read(merged(BASE, entry("fleet/pools.app", "{servers: [\"127.0.0.1:1\"], attempts: 5}"),
             entry("node/n1/pools", "app: {servers: [\"127.0.0.1:2\"], attempts: 4}\n")));
         assertEquals(4, config.pools().get("app").attempts());
     }
 
     @Test
-    void nullTakesASectionAwayAndARemovedEntrySaysNothing() {
+    void nullRemovesASectionAndARemovedEntryIsIgnored() {
         String two = BASE.replace("routes:", "  more: {servers: [\"127.0.0.1:7002\"]}\nroutes:");
-        assertEquals(1, read(laid(two, entry("node/n1/pools.more", "null"))).pools().size());
-        assertEquals(2, read(laid(two, entry("node/n1/pools.more", null))).pools().size());
+        assertEquals(1, read(merged(two, entry("node/n1/pools.more", "null"))).pools().size());
+        assertEquals(2, read(merged(two, entry("node/n1/pools.more", null))).pools().size());
     }
 
     @Test
-    void sectionsCanMakeAKeyThatTheFileDoesNotHave() {
+    void sectionCreatesATopLevelKeyMissingInTheFile() {
         String without = BASE.substring(0, BASE.indexOf("pools:")) + BASE.substring(BASE.indexOf("routes:"));
-        assertEquals(1, read(laid(without, entry("service/booking/pools.app", "{servers: [\"127.0.0.1:7002\"]}"))).pools().size());
+        assertEquals(1, read(merged(without, entry("service/booking/pools.app", "{servers: [\"127.0.0.1:7002\"]}"))).pools().size());
         assertFalse(faults.any(), faults.list().toString());
     }
 
     @Test
     void faultNamesTheEntryAndThePathInTheConfiguration() {
-        read(laid(BASE, entry("service/booking/pools.app", "servers: [\"127.0.0.1:7002\"]\nattemps: 3\n")));
+        read(merged(BASE, entry("service/booking/pools.app", "servers: [\"127.0.0.1:7002\"]\nattemps: 3\n")));
         assertEquals("service/booking/pools.app:2:1: pools.app.attemps: unknown key; did you mean `attempts`?", onlyFault());
     }
 
     @Test
-    void faultInAListNamesItsItem() {
-        read(laid(BASE, entry("fleet/routes", "- {name: look, listener: in, path: x, pool: app, class: look}\n")));
+    void faultInAListNamesTheItem() {
+        read(merged(BASE, entry("fleet/routes", "- {name: look, listener: in, path: x, pool: app, class: look}\n")));
         assertTrue(onlyFault().startsWith("fleet/routes:1:36: routes[0].path: is not a valid path: `x`"), onlyFault());
     }
 
     @Test
-    void textThatIsNotYamlIsAFaultOfItsEntry() {
-        laid(BASE, entry("fleet/pools.app", "servers: [\n"));
+    void invalidYamlIsAFaultOfItsEntry() {
+        merged(BASE, entry("fleet/pools.app", "servers: [\n"));
         assertTrue(onlyFault().startsWith("fleet/pools.app:2:1: not YAML: "), onlyFault());
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"name", "limits", "version", "admin", "handover"})
-    void whatIsANodesOwnIsNotTaken(String key) {
-        laid(BASE, entry("node/n1/" + key, "x"));
+    void nodeLocalKeyIsRejected(String key) {
+        merged(BASE, entry("node/n1/" + key, "x"));
         assertEquals("node/n1/" + key + ":1:1: " + key + ": `" + key + "` is each node's own; set it in the node's file", onlyFault());
     }
 
     @Test
-    void sectionBelowWhatHoldsNoneIsAFault() {
-        laid(BASE, entry("fleet/routes.look", "{}"));
+    void sectionOfAKeyWithoutNamedSectionsIsAFault() {
+        merged(BASE, entry("fleet/routes.look", "{}"));
         assertTrue(onlyFault().startsWith("fleet/routes.look:1:1: routes.look: `routes` is a list at node.yaml:"), onlyFault());
     }
 
     @Test
-    void keyThatNoConfigurationHasIsAFault() {
-        read(laid(BASE, entry("fleet/pols", "{}")));
+    void unknownKeyIsAFault() {
+        read(merged(BASE, entry("fleet/pols", "{}")));
         assertTrue(onlyFault().startsWith("fleet/pols:1:1: pols: unknown key; did you mean `pools`?"), onlyFault());
     }
 
